--- a/alderspool/transport/__init__.py
+++ b/alderspool/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: clients' connections, endpoints' connections, the endpoint list's calls."""
+"""Socket handling: connections from clients, connections to endpoints, and calls to discovery."""
--- a/alderspool/transport/connection_rejection.py
+++ b/alderspool/transport/connection_rejection.py
@@ -1,4 +1,4 @@
-"""Rejects connections for which no descriptor is left with a 503, so that no request stays unanswered.
+"""Answers connections beyond the descriptor budget with a 503, so that no request stays unanswered.
 
 Which connections are rejected is decided by the acceptor.
 """
@@ -12,24 +12,25 @@
 from alderspool.protocol.http_server import CONNECTION_REJECTED
 from alderspool.transport.streams import READ_SIZE
 
-# These connections are beyond the client side's part of the descriptors, so there are few, and briefly.
+# Rejected connections exceed the client side's share of the descriptors, so only a few may be open, and each
+# only for a short time.
 MAX_CONNECTIONS = 16
 TIMEOUT_S = 0.1
 
 
 class ConnectionRejector:
-    """Owns accepted sockets until each has been sent a 503 and is closed. Their requests are not read."""
+    """Owns rejected sockets until each has been sent a 503 and closed. Requests on them are discarded."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._timeouts: dict[socket.socket, asyncio.TimerHandle] = {}  # the oldest first
+        self._timeouts: dict[socket.socket, asyncio.TimerHandle] = {}  # oldest first
         self._responded: set[socket.socket] = set()
 
     def __len__(self) -> int:
         return len(self._timeouts)
 
     def reject(self, connection: socket.socket) -> None:
-        """Take a socket over. The 503 is sent as its request arrives, or after TIMEOUT_S."""
+        """Take ownership of a socket, and send a 503 when its request arrives or after TIMEOUT_S."""
         if len(self._timeouts) >= MAX_CONNECTIONS:
             oldest = next(iter(self._timeouts))
             self._close(oldest)
@@ -38,7 +39,7 @@
         self._loop.add_reader(connection, self._on_readable, connection)
 
     def abort_all(self) -> None:
-        """Close all of them at once, after the 503 to those that have not been sent one."""
+        """Close all rejected connections at once, sending a 503 to those that have not been sent one."""
         for connection in list(self._timeouts):
             self._close(connection)
 
@@ -58,7 +59,7 @@
             return
         self._responded.add(connection)
         with contextlib.suppress(OSError):  # the client has disconnected
-            connection.send(CONNECTION_REJECTED)  # a few bytes into an empty buffer: never sent in part
+            connection.send(CONNECTION_REJECTED)  # short, and the send buffer is empty: never a partial write
             connection.shutdown(socket.SHUT_WR)
 
     def _close(self, connection: socket.socket) -> None:
