--- a/alderspool/transport/request_loop.py
+++ b/alderspool/transport/request_loop.py
@@ -85,21 +85,21 @@
     async def _process_input(self, connection: ClientConnection) -> None:
         """Read and process input until the connection ends."""
         while True:
-            item = NEED_DATA if connection.state is LINGERING_CLOSE else connection.codec.next()
-            if item is NEED_DATA:
+            step = NEED_DATA if connection.state is LINGERING_CLOSE else connection.codec.next()
+            if step is NEED_DATA:
                 was_idle = connection.state is IDLE
                 data = await connection.reader.read(READ_SIZE)
                 if not data or not self._receive(connection, data, was_idle):
                     return
-            elif item is PAUSED:
+            elif step is PAUSED:
                 if not await self._wait_for_response(connection):
                     return
-            elif item is CONTINUE:
+            elif step is CONTINUE:
                 connection.send_continue()
-            elif item is ENDED:
+            elif step is ENDED:
                 return
             else:
-                invalid = item if isinstance(item, InvalidRequest) else self._handle_request(connection, item)
+                invalid = step if isinstance(step, InvalidRequest) else self._handle_request(connection, step)
                 if invalid is None:
                     # Apply backpressure: responses that the client does not read must not fill the memory.
                     await connection.writer.drain()
