--- a/alderspool/routing/exchange.py
+++ b/alderspool/routing/exchange.py
@@ -186,14 +186,14 @@
 
     # ---- called by discovery -------------------------------------------------------------------------
 
-    def list_received(self, endpoint_list: EndpointList) -> None:
+    def endpoint_list_received(self, endpoint_list: EndpointList) -> None:
         """Take the endpoint list, or what changed in it."""
         if self._list_failures_in_a_row:
             self._log.info("discovery responds again after {} failed calls", self._list_failures_in_a_row)
             self._list_failures_in_a_row = 0
         self._apply_list(endpoint_list, UpdateMode.FULL if endpoint_list.is_complete else UpdateMode.DELTA)
 
-    def list_call_failed(self, reason: str) -> None:
+    def discovery_call_failed(self, reason: str) -> None:
         """Take the failure of a call to discovery; the endpoint list stays as it is."""
         self._list_failures_in_a_row += 1
         if self._list_failures_in_a_row == 1:  # calls are repeated: one line each would fill the log
--- a/alderspool/transport/discovery.py
+++ b/alderspool/transport/discovery.py
@@ -38,10 +38,10 @@
 class EndpointListObserver(Protocol):
     """Receives what discovery sends; the exchange in the program."""
 
-    def list_received(self, endpoint_list: EndpointList, /) -> None:
+    def endpoint_list_received(self, endpoint_list: EndpointList, /) -> None:
         """Take over a complete list or an update."""
 
-    def list_call_failed(self, reason: str, /) -> None:
+    def discovery_call_failed(self, reason: str, /) -> None:
         """Note that a call failed: the list known so far stays valid."""
 
 
@@ -129,7 +129,7 @@
                     transition = self._transition(classify_failure(error))
                     if transition.is_failure:
                         failures += 1
-                        self._exchange.list_call_failed(_reason(error))
+                        self._exchange.discovery_call_failed(_reason(error))
                 if transition.next_call is NextCall.AFTER_BACKOFF:
                     await asyncio.sleep(self._retry_delay_s(failures))
         finally:
@@ -158,7 +158,7 @@
             # Another discovery than the one we knew, or one that has lost its data: its revisions cannot be
             # compared with ours.
             raise RevisionWentBackError(f"revision {revision} after {known_revision}")
-        self._exchange.list_received(endpoint_list)
+        self._exchange.endpoint_list_received(endpoint_list)
         self._revision = revision
         self._transition(WatchEvent.LIST_RECEIVED)
         self._has_list.set()
@@ -187,7 +187,7 @@
             connection.close()
 
     def _report_unresponsive_agent(self) -> None:
-        self._exchange.list_call_failed("the local agent does not respond")
+        self._exchange.discovery_call_failed("the local agent does not respond")
 
 
 def _reason(error: Exception) -> str:
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -18,7 +18,7 @@
 
 import pytest
 from rig import NOT_RUN, OK, Party, Rig, read_message, real, request
-from test_exchange import SEND, bench
+from test_exchange import SEND, set_up_parts
 
 from alderspool.balancer.actions import Send
 from alderspool.balancer.events import AttemptStatus, Outcome
@@ -291,7 +291,7 @@
 
 @real
 async def test_rejects_expired_request_before_it_reaches_the_balancer() -> None:
-    exchange, script, endpoints, responses = bench(SEND)
+    exchange, script, endpoints, responses = set_up_parts(SEND)
     events_before = len(script.events)
     request_id = exchange.submit(ClientRequest(1, 0, 0, 500.0, "payload", waited_ms=500.0), responses.append)
     assert (request_id, responses) == (0, [Rejected()])
@@ -301,7 +301,7 @@
 @real
 async def test_uncertain_wait_shortens_the_deadline_of_retries_only() -> None:
     retry = {Outcome: lambda event: [Send(event.id, b"s2")]}
-    exchange, _, endpoints, responses = bench(SEND | retry)
+    exchange, _, endpoints, responses = set_up_parts(SEND | retry)
     uncertain = ClientRequest(1, 0, 0, 20000.0, "payload", waited_ms=1000.0, longest_wait_ms=5000.0)
     exchange.submit(uncertain, responses.append)
     assert 18000.0 < exchange.time_left_ms(endpoints.sent[0]) <= 19000.0
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -56,10 +56,10 @@
     def __init__(self) -> None:
         self.failures = 0
 
-    def list_received(self, endpoint_list: object) -> None:
+    def endpoint_list_received(self, endpoint_list: object) -> None:
         pass
 
-    def list_call_failed(self, reason: str) -> None:
+    def discovery_call_failed(self, reason: str) -> None:
         self.failures += 1
 
 
@@ -71,7 +71,7 @@
         self.errors_left = errors
         self.lists_accepted = 0
 
-    def list_received(self, endpoint_list: object) -> None:
+    def endpoint_list_received(self, endpoint_list: object) -> None:
         if self.errors_left:
             self.errors_left -= 1
             raise ZeroDivisionError("unexpected")
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -131,7 +131,7 @@
     return Setup(exchange, balancer, upstream, discovery)
 
 
-def bench(script: Script, **settings: object) -> tuple[Exchange, ScriptedBalancer, ScriptedUpstream, list]:
+def set_up_parts(script: Script, **settings: object) -> tuple[Exchange, ScriptedBalancer, ScriptedUpstream, list]:
     """Return the parts of `set_up`, as test_accept_queue takes them."""
     setup = set_up(script, **settings)
     return setup.exchange, setup.balancer, setup.upstream, setup.responses
@@ -347,7 +347,7 @@
     (attempt,) = setup.upstream.sent
     assert setup.exchange.may_write(attempt)
 
-    setup.exchange.list_received(endpoint_list(b"s1", availability=Availability.DRAINING))
+    setup.exchange.endpoint_list_received(endpoint_list(b"s1", availability=Availability.DRAINING))
     assert not setup.exchange.may_write(attempt)
     assert set(setup.upstream.closed) == {b"s1", b"s2"}
 
@@ -361,13 +361,13 @@
     dialling = set_up_dialling_attempt()
     exchange, attempt = dialling.exchange, dialling.attempt
 
-    exchange.list_received(endpoint_list(b"s1", availability=Availability.GONE, revision=2))
+    exchange.endpoint_list_received(endpoint_list(b"s1", availability=Availability.GONE, revision=2))
     assert not exchange.may_write(attempt)
 
-    exchange.list_received(list_delta(Endpoint(EndpointEntry(b"s1"), "127.0.0.1", 2), revision=3))
+    exchange.endpoint_list_received(list_delta(Endpoint(EndpointEntry(b"s1"), "127.0.0.1", 2), revision=3))
     assert not exchange.may_write(attempt)
 
-    exchange.list_received(list_delta(Endpoint(EndpointEntry(b"s1"), attempt.host, attempt.port), revision=4))
+    exchange.endpoint_list_received(list_delta(Endpoint(EndpointEntry(b"s1"), attempt.host, attempt.port), revision=4))
     assert exchange.may_write(attempt)
 
 
@@ -435,10 +435,10 @@
 async def test_log_has_one_line_for_a_series_of_failed_discovery_calls(log_lines: list[str]) -> None:
     setup = set_up({})
 
-    setup.exchange.list_call_failed("connection refused")
-    setup.exchange.list_call_failed("connection refused")
-    setup.exchange.list_received(endpoint_list(b"s1"))
-    setup.exchange.list_received(endpoint_list(b"s1"))
+    setup.exchange.discovery_call_failed("connection refused")
+    setup.exchange.discovery_call_failed("connection refused")
+    setup.exchange.endpoint_list_received(endpoint_list(b"s1"))
+    setup.exchange.endpoint_list_received(endpoint_list(b"s1"))
 
     assert log_lines == [
         "discovery call failed: connection refused\n",
--- a/tests/test_random_histories.py
+++ b/tests/test_random_histories.py
@@ -213,7 +213,7 @@
 
     def update_endpoint_list(self) -> None:
         choices = (Availability.READY, Availability.DRAINING)
-        self.exchange.list_received(
+        self.exchange.endpoint_list_received(
             endpoint_list([self.random.choice(choices) for _ in range(ENDPOINT_COUNT)])
         )
 
