--- a/alderspool/routing/__init__.py
+++ b/alderspool/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Carries requests from clients to endpoints as the balancer decides. Knows no HTTP."""
+"""Routes client requests to endpoints as the balancer decides. Independent of HTTP."""
--- a/alderspool/routing/action_handlers.py
+++ b/alderspool/routing/action_handlers.py
@@ -1,4 +1,4 @@
-"""Carries out the balancer's actions: one handler for each type of action."""
+"""Executes the balancer's actions, with one handler for each type of action."""
 
 from __future__ import annotations
 
@@ -28,37 +28,37 @@
 from alderspool.routing.pending_requests import PendingRequestTable
 
 
-class RequestActions:
-    """Handlers of the actions on one pending request.
+class RequestActionHandlers:
+    """Handles the actions that apply to a single pending request.
 
-    An action on a request that has left the table is ignored.
+    Actions on a request that was removed from the table are ignored.
     """
 
     def __init__(
         self,
         clock: Clock,
-        table: PendingRequestTable,
+        pending_requests: PendingRequestTable,
         attempts: AttemptController,
         responder: FinalResponder,
     ) -> None:
-        """Act on the requests of this table."""
+        """Create handlers for the requests in `pending_requests`."""
         self._clock = clock
-        self._table = table
+        self._pending_requests = pending_requests
         self._attempts = attempts
         self._responder = responder
 
     @property
     def handlers(self) -> ActionHandlers:
-        """The handlers by the type of their action."""
+        """The handlers, keyed by action type."""
         return {Send: self._attempts.start, Reject: self._reject, Fail: self._fail, Cancel: self._cancel}
 
     def _reject(self, action: Reject) -> None:
-        pending = self._table.get(action.id)
+        pending = self._pending_requests.get(action.id)
         if pending is not None:
             self._responder.reject(pending, action.retry_after_ms)
 
     def _fail(self, action: Fail) -> None:
-        pending = self._table.get(action.id)
+        pending = self._pending_requests.get(action.id)
         if pending is not None:
             self._responder.fail(pending, timed_out=self._clock.now() >= pending.deadline)
 
@@ -66,8 +66,8 @@
         self._attempts.cancel(action.id, action.attempt)
 
 
-class FleetActions:
-    """Handlers of the actions on endpoints, discovery, timers and the log."""
+class FleetActionHandlers:
+    """Handles the actions that concern endpoints, discovery, timers, peers and the log."""
 
     def __init__(
         self,
@@ -78,7 +78,10 @@
         log: DecisionLog,
         health_checks_allowed: bool,
     ) -> None:
-        """Act on these parties."""
+        """Create handlers that act on these components.
+
+        Unless `health_checks_allowed`, a health check is reported as never sent instead of being started.
+        """
         self._balancer_loop = balancer_loop
         self._endpoints = endpoints
         self._upstream = upstream
@@ -89,7 +92,7 @@
 
     @property
     def handlers(self) -> ActionHandlers:
-        """The handlers by the type of their action."""
+        """The handlers, keyed by action type."""
         return {
             SetTimer: self._set_timer,
             CheckHealth: self._check_health,
@@ -120,7 +123,7 @@
         self._discovery.fetch()
 
     def _ignore_peer_message(self, _action: SendToPeer) -> None:
-        """Do nothing: the operators' protocol has no channel between proxies."""
+        """Ignore the message: the proxy's HTTP protocol has no channel between proxy instances."""
 
     def _write_log(self, action: Log) -> None:
         self._log.decision(action.text, self._endpoints.ids)
--- a/alderspool/routing/attempts.py
+++ b/alderspool/routing/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of pending requests: started as the balancer decides, written only while allowed, ended once."""
+"""Lifecycle of attempts: start, checks before writing, timeout, cancellation and report of the outcome."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 
 class AttemptController:
-    """Owns the attempts from the balancer's decision until their outcome is reported to it."""
+    """Manages each attempt from the balancer's Send action until its outcome is reported to the balancer."""
 
     def __init__(
         self,
         clock: Clock,
-        table: PendingRequestTable,
+        pending_requests: PendingRequestTable,
         endpoints: EndpointTable,
         balancer_loop: BalancerLoop,
         responder: FinalResponder,
@@ -29,9 +29,9 @@
         upstream: Upstream,
         max_attempts: int,
     ) -> None:
-        """Start no attempt; `max_attempts` is the limit for one request."""
+        """Create a controller without attempts. `max_attempts` limits the attempts of each request."""
         self._clock = clock
-        self._table = table
+        self._pending_requests = pending_requests
         self._endpoints = endpoints
         self._balancer_loop = balancer_loop
         self._balancer = balancer_loop.balancer
@@ -41,14 +41,14 @@
         self._max_attempts = max_attempts
         self._loop = asyncio.get_running_loop()
 
-    def start(self, decision: Send) -> None:
-        """Dispatch an attempt, or end it at once as never sent if it must not reach an endpoint."""
-        pending = self._table.get(decision.id)
+    def start(self, action: Send) -> None:
+        """Start an attempt, or finish it at once as NEVER_SENT if it must not be written."""
+        pending = self._pending_requests.get(action.id)
         if pending is None:
-            return  # concluded, and all attempts have ended: there is nothing to report to
-        attempt = self._add_attempt(pending, decision.endpoint, decision.timeout_ms)
+            return  # the request is concluded and all its attempts have ended
+        attempt = self._add_attempt(pending, action.endpoint, action.timeout_ms)
         if attempt.number >= self._max_attempts or not self.may_write(attempt):
-            self.ended(attempt, AttemptStatus.NEVER_SENT)
+            self.finish(attempt, AttemptStatus.NEVER_SENT)
             return
         self._counts.attempts += 1
         if attempt.expires_at < pending.deadline:
@@ -58,12 +58,12 @@
     def may_write(self, attempt: Attempt) -> bool:
         """Return whether an attempt may be written now.
 
-        Called when the attempt starts and again just before it is written, since connecting takes time: its
-        endpoint may be draining by now or be at another address, or the deduplication window of a retry may
-        have ended. The client may have disconnected unnoticed as well, with the end of its connection behind
-        unread bytes; then the request is concluded here.
+        Called when the attempt starts, and again just before it is written, because connecting takes time. In
+        the meantime the endpoint may have started draining or moved to another address, or the deduplication
+        window of a retry may have ended. The client may also have disconnected unnoticed, if the end of its
+        connection is behind unread bytes; in that case the request is concluded here.
         """
-        pending = self._table.get(attempt.request_id)
+        pending = self._pending_requests.get(attempt.request_id)
         now = self._clock.now()
         if attempt.ended or pending is None or pending.is_concluded or now >= attempt.expires_at:
             return False
@@ -77,24 +77,26 @@
         return True
 
     def time_left_ms(self, attempt: Attempt) -> float:
-        """Return the time that an attempt states to its endpoint.
+        """Return the remaining time to send to the endpoint with an attempt.
 
-        A retry states no more than is surely left. A first attempt states what is left if its request has
-        waited no longer than is sure: with less, an endpoint would give up work that can still be in time.
+        Only bounds are known for the time that the request waited before it was submitted. A retry assumes
+        the longest possible wait, so that it never sends more time than is left. The first attempt assumes
+        the shortest: with less time, the endpoint would abandon work that can still finish in time.
         """
         expires_at = attempt.expires_at
         if attempt.number > 0:
-            pending = self._table.get(attempt.request_id)
+            pending = self._pending_requests.get(attempt.request_id)
             if pending is not None:
                 expires_at = min(expires_at, pending.earliest_deadline)
         return expires_at - self._clock.now()
 
-    def ended(self, attempt: Attempt, status: AttemptStatus, payload: object = None) -> None:
-        """Report the end of an attempt; its further ends are ignored.
+    def finish(self, attempt: Attempt, status: AttemptStatus, payload: object = None) -> None:
+        """Mark an attempt as ended and report its outcome to the balancer.
 
-        The first attempt that is served gives its request the final response, with this payload.
+        Does nothing if the attempt has already ended. If `status` is OK and the request has no final response
+        yet, `payload` is delivered as its final response.
         """
-        pending = self._table.get(attempt.request_id)
+        pending = self._pending_requests.get(attempt.request_id)
         if attempt.ended or pending is None:
             return
         attempt.ended = True
@@ -112,29 +114,29 @@
                 pending.is_concluded,
             )
         )
-        self._table.remove_if_finished(pending)
+        self._pending_requests.remove_if_finished(pending)
 
     def cancel(self, request_id: int, number: int) -> None:
         """Cancel an attempt as the balancer decided.
 
-        Does nothing if the attempt has ended: then its outcome is already queued for the balancer.
+        Does nothing if the attempt has already ended: its outcome has then already been queued for the balancer.
         """
-        pending = self._table.get(request_id)
+        pending = self._pending_requests.get(request_id)
         if pending is None or number >= len(pending.attempts):
             return
         attempt = pending.attempts[number]
         if not attempt.ended:
             self._upstream.cancel(attempt)
-            self.ended(attempt, AttemptStatus.CANCELLED)
+            self.finish(attempt, AttemptStatus.CANCELLED)
 
-    def expire_all(self, pending: PendingRequest) -> None:
-        """End all running attempts of a request whose deadline has passed."""
+    def expire_attempts(self, pending: PendingRequest) -> None:
+        """Time out all running attempts of a request whose deadline has passed."""
         running = [attempt for attempt in pending.attempts if not attempt.ended]
         for attempt in running:
             self._expire(attempt)
 
     def _add_attempt(self, pending: PendingRequest, endpoint_id: EndpointId, timeout_ms: float) -> Attempt:
-        """Record an attempt; a `timeout_ms` of 0 means until the request's deadline."""
+        """Add an attempt to a request. With a `timeout_ms` of 0 it may run until the request's deadline."""
         now = self._clock.now()
         expires_at = min(pending.deadline, now + timeout_ms) if timeout_ms else pending.deadline
         endpoint = self._endpoints.get(endpoint_id)
@@ -153,7 +155,7 @@
         return attempt
 
     def _expire(self, attempt: Attempt) -> None:
-        """End an attempt whose time is over. One that was not yet written has surely not run."""
+        """Time out an attempt. One that was not written is reported as NEVER_SENT: it cannot have run."""
         if not attempt.ended:
             self._upstream.cancel(attempt)
-            self.ended(attempt, AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.NEVER_SENT)
+            self.finish(attempt, AttemptStatus.TIMEOUT if attempt.written else AttemptStatus.NEVER_SENT)
--- a/alderspool/routing/balancer_loop.py
+++ b/alderspool/routing/balancer_loop.py
@@ -1,4 +1,4 @@
-"""The loop around the balancer: events in, one at a time and in order; actions out, to their handlers."""
+"""The loop that passes events to the balancer, one at a time and in order, and executes its actions."""
 
 from __future__ import annotations
 
@@ -14,31 +14,32 @@
 ActionHandlers = Mapping[type[Action], Callable[[Any], None]]
 
 
-class DecisionMaker(Protocol):
-    """What the exchange needs of `alderspool.balancer.Balancer`. Times are milliseconds on the Clock."""
+class BalancerProtocol(Protocol):
+    """The methods of `alderspool.balancer.Balancer` that the exchange uses. Times are Clock milliseconds."""
 
     def start(self, now: float) -> list[Action]:
-        """Begin, before the first event."""
+        """Return the initial actions. Called once, before the first event."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, and return what is to be done."""
+        """Process an event and return the actions to execute."""
 
     def may_begin(self, now: float, request_id: int) -> bool:
-        """Return whether an attempt of the request may still be written."""
+        """Return whether the latest attempt of the request may still be written."""
 
 
 class BalancerLoop:
-    """Feeds the balancer, and has its actions carried out before the next event is fed.
+    """Passes events to the balancer and executes the resulting actions before the next event.
 
-    An action may bring about further events; these are queued until the actions before them are done, so the
-    balancer is never re-entered. A fault over one event is logged, and costs no other request its response.
-    `is_concluded` returns whether a request, by its id, needs no further response.
+    Executing an action may cause further events. They are queued until all actions of the current event have
+    been executed, so the balancer is never re-entered. An exception during one event is logged and does not
+    stop the loop, so that other requests still get their responses. `is_concluded` takes a request id and
+    returns whether that request needs no further response.
     """
 
     def __init__(
-        self, balancer: DecisionMaker, clock: Clock, log: DecisionLog, is_concluded: Callable[[int], bool]
+        self, balancer: BalancerProtocol, clock: Clock, log: DecisionLog, is_concluded: Callable[[int], bool]
     ) -> None:
-        """Prepare the loop; `start` has to be called before the first event."""
+        """Create the loop. `start` must be called before the first event."""
         self.balancer = balancer
         self._clock = clock
         self._log = log
@@ -48,12 +49,15 @@
         self._is_feeding = False
 
     def start(self, handlers: ActionHandlers) -> None:
-        """Start the balancer; from now on its actions go to these handlers."""
+        """Start the balancer and execute its initial actions. `handlers` are used for all later ones too."""
         self._handlers = handlers
-        self._carry_out(self.balancer.start(self._clock.now()))
+        self._execute(self.balancer.start(self._clock.now()))
 
     def feed(self, event: Event) -> None:
-        """Feed an event, and all that follow from it; only queue it if called by an action's handler."""
+        """Process an event and all events that it causes.
+
+        When called by an action handler, only queue the event: the call in progress processes it.
+        """
         self._events.append(event)
         if self._is_feeding:
             return
@@ -66,13 +70,13 @@
 
     def _feed_one(self, event: Event) -> None:
         if type(event) is Outcome and not event.finished:
-            # The request may have been concluded while the event was queued; then it must not be retried.
+            # The request may have been concluded while the event was queued. It must not be retried then.
             event.finished = self._is_concluded(event.id)
         try:
-            self._carry_out(self.balancer.handle(self._clock.now(), event))
+            self._execute(self.balancer.handle(self._clock.now(), event))
         except Exception:
             self._log.exception("balancer failed on event {}", type(event).__name__)
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             self._handlers[type(action)](action)
--- a/alderspool/routing/clock.py
+++ b/alderspool/routing/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the proxy: monotonic milliseconds, anchored once to Unix time."""
+"""The clock used throughout the proxy: monotonic milliseconds with a fixed offset to Unix time."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class Clock:
-    """A clock that never runs backwards and reads Unix time as of its creation, in milliseconds.
+    """A monotonic clock in milliseconds that matches Unix time when it is created.
 
-    Discovery states start times of endpoints (`since_ms`) in Unix time. They need no conversion on this
-    clock. The offset is read once: a second reading would differ by some jitter, and a start time that
-    moves looks like a restart of the endpoint.
+    Discovery sends the start times of endpoints (`since_ms`) in Unix time, so they can be compared with this
+    clock without conversion. The offset between monotonic and Unix time is computed only once: another
+    computation would differ by some jitter, and a changed start time looks like a restart of the endpoint.
     """
 
     def __init__(self) -> None:
-        """Anchor the clock to the current Unix time."""
+        """Set the clock to the current Unix time."""
         self._offset_ms = (time() - monotonic()) * MS_PER_S
 
     def now(self) -> float:
@@ -24,5 +24,5 @@
         return monotonic() * MS_PER_S + self._offset_ms
 
     def loop_time(self, at_ms: float) -> float:
-        """Return the same moment on the event loop's clock, in seconds."""
+        """Convert a time of this clock to the event loop's clock, in seconds."""
         return (at_ms - self._offset_ms) / MS_PER_S
--- a/alderspool/routing/counts.py
+++ b/alderspool/routing/counts.py
@@ -1,4 +1,4 @@
-"""What became of the requests: the counts that the program logs as it ends."""
+"""Request counters, which the program logs when it exits."""
 
 from __future__ import annotations
 
@@ -7,18 +7,21 @@
 
 @dataclass(slots=True)
 class RequestCounts:
-    """Counts since the start. Once nothing is pending, `accepted` is the sum of the four conclusions."""
+    """Counters since the program started.
+
+    When no request is pending, `accepted` is the sum of `served`, `rejected`, `failed` and `disconnected`.
+    """
 
     accepted: int = 0  # submitted by the client side
     served: int = 0
     rejected: int = 0
     failed: int = 0
-    disconnected: int = 0  # their client disconnected before the final response
-    attempts: int = 0  # handed to the endpoint side
+    disconnected: int = 0  # the client disconnected before the final response
+    attempts: int = 0  # dispatched to the endpoint side
 
     @property
     def concluded(self) -> int:
-        """Requests that need no further response."""
+        """The number of requests that need no further response."""
         return self.served + self.rejected + self.failed + self.disconnected
 
     def __str__(self) -> str:
--- a/alderspool/routing/endpoint_table.py
+++ b/alderspool/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that discovery lists: where they are, whether they are ready, and what an update changes."""
+"""The endpoints listed by discovery, with their addresses and readiness."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class EndpointTable:
-    """The endpoint list as of the last update. Does no I/O."""
+    """Holds the endpoint list as of the last update. Does no I/O."""
 
     def __init__(self) -> None:
-        """Start with no endpoint."""
+        """Create an empty table."""
         self._endpoints: dict[EndpointId, Endpoint] = {}
         self._ready_addresses: dict[EndpointId, Address] = {}
 
     @property
-    def has_ready(self) -> bool:
+    def has_ready_endpoint(self) -> bool:
         """Whether at least one endpoint is ready."""
         return bool(self._ready_addresses)
 
@@ -29,21 +29,21 @@
         return self._endpoints.keys()
 
     def get(self, endpoint_id: EndpointId) -> Endpoint | None:
-        """Return a listed endpoint, or None."""
+        """Return a listed endpoint, or None if it is not listed."""
         return self._endpoints.get(endpoint_id)
 
     def is_ready_at(self, endpoint_id: EndpointId, host: str, port: int) -> bool:
-        """Return whether an endpoint is ready, and still reached at this address.
+        """Return whether an endpoint is ready and still has this address.
 
-        Where an endpoint went away and came back at another address, its old address may be some other
-        process's by now.
+        If an endpoint was removed and came back at another address, another process may be listening at its
+        old address by now.
         """
         return self._ready_addresses.get(endpoint_id) == (host, port)
 
     def apply(self, update: EndpointList, mode: UpdateMode) -> list[EndpointId]:
-        """Apply an update and return the endpoints whose idle connections are of no further use.
+        """Apply an update and return the ids of the endpoints whose idle connections should be closed.
 
-        These are the endpoints that were listed before and now are missing, not ready, or at another address.
+        These are the endpoints that were listed before and are now unlisted, not ready or at another address.
         """
         previous = self._endpoints
         endpoints = dict(previous) if mode == UpdateMode.DELTA else {}
--- a/alderspool/routing/messages.py
+++ b/alderspool/routing/messages.py
@@ -1,7 +1,7 @@
-"""The values and protocols at the border of the exchange; the same for every wire protocol.
+"""Types and interfaces between the exchange and its users, independent of the wire protocol.
 
-The client side and the endpoint side know each other only through these types. Times are milliseconds;
-points in time are on the clock of `alderspool.routing.clock`.
+The client side and the endpoint side depend on these types only, not on each other. Durations are in
+milliseconds, and timestamps are in milliseconds of `alderspool.routing.clock.Clock`.
 """
 
 from __future__ import annotations
@@ -19,42 +19,43 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request of a client, as the client side submits it.
+    """A client's request, as the client side submits it.
 
-    `time_left_ms` counts from its arrival. Until it is submitted the request may have waited, unread or in
-    the accept queue: surely for `waited_ms`, and for `longest_wait_ms` at most.
+    `time_left_ms` counts from the arrival of the request. Between its arrival and its submission, the request
+    may have waited in the accept queue or unread in the socket, for at least `waited_ms` and at most
+    `longest_wait_ms`.
     """
 
     cls: int  # index into Settings.classes
     tenant: int  # index into Settings.tenants
-    key: int  # 0: none
-    time_left_ms: float  # from its arrival until its deadline
-    payload: Any  # belongs to the wire protocol; the exchange passes it through unread
-    client_request_id: bytes = b""  # the client's own id, unique among the pending requests; b"": none
+    key: int  # 0: no key
+    time_left_ms: float  # from arrival until the deadline
+    payload: Any  # defined by the wire protocol; the exchange passes it through unread
+    client_request_id: bytes = b""  # assigned by the client, unique among the pending requests; b"": none
     is_retry: bool = False
-    cost_hint_ms: float = 0.0  # 0: none
+    cost_hint_ms: float = 0.0  # 0: no hint
     is_disconnected: Callable[[], bool] = _never_disconnected  # called just before each attempt is written
-    waited_ms: float = 0.0
-    longest_wait_ms: float = 0.0
+    waited_ms: float = 0.0  # lower bound of the wait before submission
+    longest_wait_ms: float = 0.0  # upper bound of that wait; `waited_ms` if that is greater
 
 
 @dataclass(slots=True)
 class Served:
     """Final response: an endpoint served the request."""
 
-    payload: Any  # belongs to the wire protocol
+    payload: Any  # the response, as defined by the wire protocol
 
 
 @dataclass(slots=True)
 class Rejected:
-    """Final response: rejected; a retry is harmless."""
+    """Final response: the request was rejected, and the client may safely retry it."""
 
-    retry_after_ms: float = 0.0  # 0: no advice
+    retry_after_ms: float = 0.0  # 0: no advice to the client
 
 
 @dataclass(slots=True)
 class Failed:
-    """Final response: failed; the request may have run or not."""
+    """Final response: the request failed; it may have run."""
 
     timed_out: bool = False
 
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """One line of the endpoint list, with the address at which this proxy reaches the endpoint."""
+    """An entry of the endpoint list, with the address at which the proxy reaches the endpoint."""
 
     entry: EndpointEntry
     host: str
@@ -74,40 +75,40 @@
 
 @dataclass(slots=True)
 class EndpointList:
-    """A response of discovery: the complete list, or what changed in it."""
+    """A response from discovery: the complete endpoint list, or the changes to it."""
 
     revision: int
-    is_complete: bool
+    is_complete: bool  # False: only the entries that changed
     endpoints: list[Endpoint]
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at one endpoint.
+    """An attempt to have a request served by one endpoint.
 
-    Created by the exchange; the endpoint side sets `written` and `transport_handle`.
+    Created by the exchange. The endpoint side sets `written` and `transport_handle`.
     """
 
     request_id: int
-    number: int  # among the attempts of its request, from 0
+    number: int  # index among the attempts of the request, from 0
     endpoint: EndpointId
     host: str
     port: int
-    payload: Any  # of the ClientRequest
+    payload: Any  # the payload of the ClientRequest
     started_at: float
     expires_at: float
-    written: bool = False  # its last byte was handed to the transport: it may have run
+    written: bool = False  # its last byte was handed to the transport, so it may have run
     ended: bool = False
-    transport_handle: Any = None  # the endpoint side's own
+    transport_handle: Any = None  # used by the endpoint side only
 
 
 class Upstream(Protocol):
-    """The endpoint side, as the exchange sees it."""
+    """The interface of the endpoint side that the exchange uses."""
 
     def dispatch(self, attempt: Attempt) -> None:
         """Send an attempt to its endpoint.
 
-        Its end is reported by `Exchange.attempt_ended`, unless the attempt is cancelled before.
+        Its end must be reported to `Exchange.attempt_ended`, unless the attempt is cancelled first.
         """
 
     def cancel(self, attempt: Attempt) -> None:
@@ -117,14 +118,14 @@
         """Close the idle connections to an endpoint."""
 
     def probe(self, endpoint: EndpointId, host: str, port: int) -> None:
-        """Send a health check; its result is reported by `Exchange.health_check_ended`."""
+        """Send a health check. Its result must be reported to `Exchange.health_check_ended`."""
 
 
 class Discovery(Protocol):
-    """The source of the endpoint list, as the exchange sees it."""
+    """The interface of the discovery client that the exchange uses."""
 
     def watch(self, on: bool) -> None:
-        """Start or end the watch for changes of the endpoint list."""
+        """Start or stop watching the endpoint list for changes."""
 
     def fetch(self) -> None:
-        """Poll the complete endpoint list once."""
+        """Request the complete endpoint list once."""
--- a/alderspool/routing/pending_requests.py
+++ b/alderspool/routing/pending_requests.py
@@ -1,8 +1,8 @@
 """The table of pending requests, with their states and deadlines.
 
-A request enters the table when it is submitted. It leaves once it is concluded (a final response was given,
-or its client disconnected) and its last attempt has ended. The table does not know the balancer; it calls
-back when a deadline passes.
+A request is added when it is submitted. It is removed once it is concluded (the final response was given, or
+the client disconnected) and its last attempt has ended. The table does not depend on the balancer; it reports
+passed deadlines through callbacks.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 from alderspool.routing.clock import MS_PER_S, Clock
 from alderspool.routing.messages import Attempt, ClientRequest, ResponseCallback
 
-MAX_REQUEST_ID = (1 << 32) - 1  # ids wrap round to 1 after this; 0 is no id
+MAX_REQUEST_ID = (1 << 32) - 1  # the next id after this is 1 again; 0 is not a valid id
 
 
 class PendingState(Enum):
-    """How far a request has come.
+    """State of a request.
 
-    The only transitions are from AWAITING_RESPONSE to one of the others, in `PendingRequestTable.conclude`.
+    AWAITING_RESPONSE is the initial state, and the others are final. The state changes only in
+    `PendingRequestTable.conclude`.
     """
 
     AWAITING_RESPONSE = "awaiting response"
@@ -33,30 +34,31 @@
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request that awaits its final response, or has attempts that have not ended."""
+    """A request that awaits its final response or has running attempts."""
 
     id: int
     request: ClientRequest
     respond: ResponseCallback
-    deadline: float  # ms on the Clock
-    earliest_deadline: float  # if it waited as long as it may have waited before it was submitted
-    timer: asyncio.TimerHandle  # for the deadline, then for the overdue response
+    deadline: float  # in Clock milliseconds
+    earliest_deadline: float  # the deadline if the wait before submission was the longest possible
+    timer: asyncio.TimerHandle  # first for `deadline`, then for the overdue response
     state: PendingState = PendingState.AWAITING_RESPONSE
-    # Whether it needs no further response. Follows from `state`; a field since it is read several times per
-    # request, and CPython 3.11 takes 0.1 us to look up a member of an enum (measured).
+    # Whether no further response is needed. Redundant with `state`, but stored for speed: it is read several
+    # times per request, and looking up an enum member takes 0.1 us in CPython 3.11.
     is_concluded: bool = False
     attempts: list[Attempt] = field(default_factory=list)
-    running_attempts: int = 0  # those that have not ended
+    running_attempts: int = 0  # number of attempts that have not ended
 
 
 PendingCallback = Callable[[PendingRequest], None]
 
 
 class PendingRequestTable:
-    """Owns the pending requests, their ids and their timers.
+    """Manages the pending requests, their ids and their timers.
 
-    `on_deadline` is called once a request's deadline has passed, also when the request is concluded but
-    attempts have not ended. `on_overdue` is called `response_slack_ms` later if there is still no conclusion.
+    `on_deadline` is called when the deadline of a request passes, even if the request is concluded and only
+    attempts are still running. `on_overdue` is called `response_slack_ms` later if the request is still not
+    concluded.
     """
 
     def __init__(
@@ -66,7 +68,7 @@
         on_deadline: PendingCallback,
         on_overdue: PendingCallback,
     ) -> None:
-        """Start with no request; needs a running event loop."""
+        """Create an empty table. Must be called with a running event loop."""
         self._clock = clock
         self._response_slack_s = response_slack_ms / MS_PER_S
         self._on_deadline = on_deadline
@@ -77,29 +79,29 @@
         self._last_id = 0
 
     def __len__(self) -> int:
-        """Return how many requests are in the table, concluded or not."""
+        """Return the number of requests in the table, including concluded ones."""
         return len(self._pending)
 
     @property
     def awaiting_response(self) -> list[PendingRequest]:
-        """The requests without a conclusion, in order of submission."""
+        """The requests that are not concluded, in order of submission."""
         return [pending for pending in self._pending.values() if not pending.is_concluded]
 
     def get(self, request_id: int) -> PendingRequest | None:
-        """Return a request of the table, or None."""
+        """Return a request by its id, or None if it is not in the table."""
         return self._pending.get(request_id)
 
     def has_client_request_id(self, client_request_id: bytes) -> bool:
-        """Return whether a request with the client's own id is in the table."""
+        """Return whether a request with this client-assigned id is in the table."""
         return client_request_id in self._client_request_ids
 
     def is_concluded(self, request_id: int) -> bool:
-        """Return whether a request needs no further response; true also if it has left the table."""
+        """Return whether a request needs no further response. True also if it is not in the table."""
         pending = self._pending.get(request_id)
         return pending is None or pending.is_concluded
 
     def add(self, request: ClientRequest, respond: ResponseCallback, time_left_ms: float) -> PendingRequest:
-        """Give a request an id, and start its deadline in `time_left_ms` from now."""
+        """Add a request under a new id, with its deadline `time_left_ms` from now, and start its timer."""
         request_id = self._last_id % MAX_REQUEST_ID + 1
         self._last_id = request_id
         deadline = self._clock.now() + time_left_ms
@@ -111,7 +113,7 @@
         return pending
 
     def conclude(self, pending: PendingRequest, state: PendingState) -> bool:
-        """Move a request to its final state; return False, and change nothing, if it already has one."""
+        """Set the final state of a request. Return False and change nothing if it already has one."""
         if pending.is_concluded:
             return False
         pending.state = state
@@ -119,7 +121,7 @@
         return True
 
     def remove_if_finished(self, pending: PendingRequest) -> None:
-        """Remove a request that is concluded and has no running attempt. May be called again."""
+        """Remove a request if it is concluded and has no running attempts. Safe to call repeatedly."""
         if pending.running_attempts or not pending.is_concluded:
             return
         pending.timer.cancel()
@@ -132,9 +134,9 @@
             return
         self._on_deadline(pending)
         if not pending.is_concluded:
-            pending.timer = self._loop.call_later(self._response_slack_s, self._overdue, request_id)
+            pending.timer = self._loop.call_later(self._response_slack_s, self._response_overdue, request_id)
 
-    def _overdue(self, request_id: int) -> None:
+    def _response_overdue(self, request_id: int) -> None:
         pending = self._pending.get(request_id)
         if pending is not None and not pending.is_concluded:
             self._on_overdue(pending)
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -31,7 +31,7 @@
 def test_empty_table_has_no_ready_endpoint() -> None:
     table = EndpointTable()
 
-    assert not table.has_ready
+    assert not table.has_ready_endpoint
     assert table.get(b"s1") is None
     assert not table.is_ready_at(b"s1", HOST, PORT)
 
@@ -53,7 +53,7 @@
 
     assert table.get(b"s1") is (listed if is_listed else None)
     assert list(table.ids) == ([b"s1"] if is_listed else [])
-    assert table.has_ready is is_ready
+    assert table.has_ready_endpoint is is_ready
     assert table.is_ready_at(b"s1", HOST, PORT) is is_ready
 
 
