--- a/alderspool/routing/attempts.py
+++ b/alderspool/routing/attempts.py
@@ -119,7 +119,7 @@
     def cancel(self, request_id: int, number: int) -> None:
         """Cancel an attempt as the balancer decided.
 
-        Does nothing if the attempt has already ended: its outcome has then already been queued for the balancer.
+        Does nothing if the attempt has already ended, since its outcome was queued for the balancer then.
         """
         pending = self._pending_requests.get(request_id)
         if pending is None or number >= len(pending.attempts):
--- a/tests/test_balancer_loop.py
+++ b/tests/test_balancer_loop.py
@@ -1,4 +1,4 @@
-"""The loop around the balancer: one event at a time, actions before the next event, faults contained."""
+"""Tests the balancer loop: one event at a time, all actions before the next event, exceptions contained."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
     return Outcome(7, 0, b"s1", AttemptStatus.ERROR, 5.0, finished)
 
 
-def test_start_carries_out_the_first_actions() -> None:
+def test_start_executes_the_initial_actions() -> None:
     timers: list[Action] = []
 
     start_loop(ScriptedBalancer({}), {SetTimer: timers.append})
@@ -61,7 +61,7 @@
     assert timers == [SetTimer(1, 5.0)]
 
 
-def test_event_of_an_action_waits_until_all_actions_before_it_are_done() -> None:
+def test_event_fed_by_a_handler_waits_until_all_current_actions_are_executed() -> None:
     order: list[str] = []
 
     def cancel(action: Cancel) -> None:
@@ -91,7 +91,7 @@
         pytest.param(True, frozenset(), True, id="final_response_given"),
     ],
 )
-def test_outcome_says_whether_the_request_is_concluded_by_now(
+def test_outcome_is_marked_finished_if_the_request_is_already_concluded(
     finished: bool, concluded_ids: frozenset[int], expected: bool
 ) -> None:
     balancer = ScriptedBalancer({})
@@ -102,7 +102,7 @@
     assert balancer.events[0].finished is expected
 
 
-def test_fault_on_one_event_does_not_stop_the_next() -> None:
+def test_exception_on_one_event_does_not_stop_the_next() -> None:
     balancer = ScriptedBalancer({Request: lambda event: 1 / 0})
     loop = start_loop(balancer, {})
 
@@ -112,7 +112,7 @@
     assert [type(event) for event in balancer.events] == [Request, ClientDisconnected]
 
 
-def test_fault_in_a_handler_does_not_stop_the_events_that_are_queued() -> None:
+def test_exception_in_a_handler_does_not_stop_queued_events() -> None:
     def fail(action: Fail) -> None:
         loop.feed(TimerFired(3))
         raise ConnectionError
--- a/tests/test_decision_log.py
+++ b/tests/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The decision log: its bound, and names of endpoints."""
+"""Tests the decision log: its limit on lines, and endpoint names."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     logger.remove(sink)
 
 
-def test_writes_no_more_lines_than_its_bound(log_lines: list[str]) -> None:
+def test_drops_lines_over_the_limit(log_lines: list[str]) -> None:
     decision_log = DecisionLog()
 
     for number in range(MAX_LINES + 50):
@@ -28,7 +28,7 @@
     assert log_lines[-1] == f"INFO line {MAX_LINES - 1}\n"
 
 
-def test_all_levels_share_the_bound(log_lines: list[str]) -> None:
+def test_all_levels_share_the_limit(log_lines: list[str]) -> None:
     decision_log = DecisionLog(max_lines=4)
 
     decision_log.info("one")
@@ -40,7 +40,7 @@
     assert log_lines == ["INFO one\n", "WARNING two\n", "ERROR three\n", "INFO balancer: four\n"]
 
 
-def test_decision_names_every_endpoint_by_name(log_lines: list[str]) -> None:
+def test_decision_shows_names_of_listed_endpoints_instead_of_ids(log_lines: list[str]) -> None:
     text = f"eject {b's1'.hex()} and {b's2'.hex()}, keep {b's3'.hex()}"
 
     DecisionLog().decision(text, [b"s1", b"s2"])
--- a/tests/test_endpoint_table.py
+++ b/tests/test_endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoint table: what an update changes, and which idle connections it makes useless."""
+"""Tests the endpoint table: the effect of updates, and which idle connections should be closed."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
         pytest.param(Availability.GONE, False, False, id="gone"),
     ],
 )
-def test_only_ready_endpoints_are_ready_and_gone_ones_are_not_listed(
+def test_availability_decides_whether_an_endpoint_is_listed_and_ready(
     availability: Availability, is_listed: bool, is_ready: bool
 ) -> None:
     listed = endpoint(b"s1", availability)
@@ -64,7 +64,7 @@
     assert not table_of(endpoint(b"s1")).is_ready_at(b"s1", host, port)
 
 
-def test_delta_keeps_endpoints_that_it_does_not_name() -> None:
+def test_delta_keeps_endpoints_that_it_does_not_contain() -> None:
     table = table_of(endpoint(b"s1"), endpoint(b"s2"))
 
     to_close = table.apply(update(endpoint(b"s2", Availability.GONE), endpoint(b"s3")), UpdateMode.DELTA)
@@ -92,7 +92,7 @@
         pytest.param(endpoint(b"s1", port=81), [b"s1"], id="another_address"),
     ],
 )
-def test_update_names_endpoints_whose_idle_connections_are_useless(
+def test_update_returns_endpoints_whose_idle_connections_should_be_closed(
     changed: Endpoint, to_close: list[bytes]
 ) -> None:
     table = table_of(endpoint(b"s1"), endpoint(b"s2"))
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange with a scripted balancer and no sockets: order, deadlines, and exactly one final response."""
+"""Tests the exchange with a scripted balancer and no sockets: responses, deadlines, checks before a write."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class ScriptedBalancer:
-    """Responds to each type of event as the script says, and asserts that it is never re-entered."""
+    """Responds to each type of event as the script defines, and asserts that it is never re-entered."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -66,24 +66,24 @@
         return actions
 
     def last_outcome(self) -> tuple[AttemptStatus, bool]:
-        """Status and `finished` of the last event, which has to be an outcome."""
+        """Return the status and `finished` of the last event, which must be an Outcome."""
         outcome = self.events[-1]
         assert isinstance(outcome, Outcome)
         return AttemptStatus(outcome.status), outcome.finished
 
 
 class ScriptedUpstream:
-    """Writes each attempt at once, unless `is_dialling`; the test ends the attempts."""
+    """Writes each attempt at once, unless `is_connecting` is set. The tests report how attempts end."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
         self.cancelled: list[Attempt] = []
         self.closed: list[bytes] = []
-        self.is_dialling = False
+        self.is_connecting = False
 
     def dispatch(self, attempt: Attempt) -> None:
         self.sent.append(attempt)
-        if not self.is_dialling:
+        if not self.is_connecting:
             attempt.written = True
 
     def cancel(self, attempt: Attempt) -> None:
@@ -93,7 +93,7 @@
         self.closed.append(endpoint)
 
 
-class RecordedDiscovery:
+class RecordingDiscovery:
     is_watching: bool | None = None
 
     def watch(self, on: bool) -> None:
@@ -105,7 +105,7 @@
     exchange: Exchange
     balancer: ScriptedBalancer
     upstream: ScriptedUpstream
-    discovery: RecordedDiscovery
+    discovery: RecordingDiscovery
     responses: list[FinalResponse] = field(default_factory=list)
 
     def submit(self, request: ClientRequest) -> int:
@@ -117,7 +117,7 @@
 
 
 def set_up(script: Script, **settings: object) -> Setup:
-    """Start an exchange with the endpoints s1 and s2 ready."""
+    """Start an exchange whose endpoints s1 and s2 are ready."""
     balancer = ScriptedBalancer(script)
     exchange = Exchange(
         read_settings(flatten(SETTINGS) | settings),
@@ -126,13 +126,15 @@
         create_balancer=lambda settings, seed: balancer,
     )
     upstream = ScriptedUpstream()
-    discovery = RecordedDiscovery()
+    discovery = RecordingDiscovery()
     exchange.start(upstream, discovery, endpoint_list(b"s1", b"s2"))
     return Setup(exchange, balancer, upstream, discovery)
 
 
-def set_up_parts(script: Script, **settings: object) -> tuple[Exchange, ScriptedBalancer, ScriptedUpstream, list]:
-    """Return the parts of `set_up`, as test_accept_queue takes them."""
+def set_up_parts(
+    script: Script, **settings: object
+) -> tuple[Exchange, ScriptedBalancer, ScriptedUpstream, list]:
+    """Return the parts of `set_up` as a tuple, for test_accept_queue."""
     setup = set_up(script, **settings)
     return setup.exchange, setup.balancer, setup.upstream, setup.responses
 
@@ -140,7 +142,7 @@
 def endpoint_list(
     *ids: bytes, availability: Availability = Availability.READY, revision: int = 1
 ) -> EndpointList:
-    """Return a complete list."""
+    """Return a complete endpoint list."""
     endpoints = [Endpoint(EndpointEntry(id_, availability=availability), "127.0.0.1", 1) for id_ in ids]
     return EndpointList(revision, True, endpoints)
 
@@ -164,7 +166,7 @@
 
 
 @real
-async def test_first_served_attempt_gives_the_final_response_and_later_ends_change_nothing() -> None:
+async def test_first_served_attempt_gives_the_final_response_and_later_outcomes_are_ignored() -> None:
     setup = set_up({Request: lambda event: [Send(event.id, b"s1"), Send(event.id, b"s2")]})
     setup.submit(client_request())
     first, hedge = setup.upstream.sent
@@ -182,7 +184,7 @@
 
 
 @real
-async def test_only_the_first_of_two_conclusions_of_the_balancer_counts() -> None:
+async def test_second_conclusion_from_the_balancer_is_ignored() -> None:
     setup = set_up({Request: lambda event: [Reject(event.id, 250.0), Fail(event.id)]})
 
     setup.submit(client_request())
@@ -230,7 +232,7 @@
 
 @real
 async def test_fail_pending_fails_all_pending_requests_and_rejects_later_ones() -> None:
-    """One request is at an endpoint, one is queued by the balancer, and one had its response before."""
+    """One request has a running attempt, one is queued by the balancer, and one already has its response."""
     setup = set_up({Request: lambda event: [Send(event.id, b"s1")] if event.id != 2 else []})
     for _ in range(3):
         setup.submit(client_request())
@@ -245,12 +247,12 @@
 
     setup.exchange.fail_pending()
     setup.exchange.attempt_ended(setup.upstream.sent[0], AttemptStatus.OK, "late")
-    assert len(setup.responses) == 4  # one for each request, whatever comes after
+    assert len(setup.responses) == 4  # one per request; later outcomes change nothing
     assert [type(event) for event in setup.balancer.events].count(ClientDisconnected) == 2
 
 
 @real
-async def test_counts_are_readable_as_text() -> None:
+async def test_counts_are_formatted_for_the_log() -> None:
     setup = set_up(SEND)
     setup.submit(client_request())
     setup.exchange.client_disconnected(setup.submit(client_request()))
@@ -280,7 +282,7 @@
 @real
 async def test_attempt_that_times_out_before_it_is_written_ends_as_never_sent() -> None:
     setup = set_up({Request: lambda event: [Send(event.id, b"s1", timeout_ms=20.0)]})
-    setup.upstream.is_dialling = True
+    setup.upstream.is_connecting = True
     setup.submit(client_request())
 
     while len(setup.balancer.events) < 3:
@@ -319,29 +321,29 @@
     assert setup.balancer.last_outcome() == (AttemptStatus.CANCELLED, True)
 
 
-# ---- just before an attempt is written -----------------------------------------------------------
+# ---- checks before an attempt is written ---------------------------------------------------------
 
 
 @dataclass
-class DiallingAttempt(Setup):
-    """An attempt that is being dialled and may still be written."""
+class ConnectingAttemptSetup(Setup):
+    """A setup with an attempt that is still connecting and may be written."""
 
     attempt: Attempt | None = None
     has_client_disconnected: bool = False
 
 
-def set_up_dialling_attempt() -> DiallingAttempt:
-    dialling = DiallingAttempt(**vars(set_up(SEND)))
+def set_up_connecting_attempt() -> ConnectingAttemptSetup:
+    setup = ConnectingAttemptSetup(**vars(set_up(SEND)))
     request = client_request()
-    request.is_disconnected = lambda: dialling.has_client_disconnected
-    dialling.submit(request)
-    (dialling.attempt,) = dialling.upstream.sent
-    assert dialling.exchange.may_write(dialling.attempt)
-    return dialling
+    request.is_disconnected = lambda: setup.has_client_disconnected
+    setup.submit(request)
+    (setup.attempt,) = setup.upstream.sent
+    assert setup.exchange.may_write(setup.attempt)
+    return setup
 
 
 @real
-async def test_draining_endpoint_gets_no_new_attempt_and_no_write_of_a_dialled_one() -> None:
+async def test_draining_endpoint_gets_no_new_attempt_and_no_write_of_a_connecting_one() -> None:
     setup = set_up(SEND)
     setup.submit(client_request())
     (attempt,) = setup.upstream.sent
@@ -357,9 +359,9 @@
 
 
 @real
-async def test_endpoint_that_is_back_at_another_address_gets_no_write_at_the_old_one() -> None:
-    dialling = set_up_dialling_attempt()
-    exchange, attempt = dialling.exchange, dialling.attempt
+async def test_attempt_is_not_written_to_an_address_that_its_endpoint_no_longer_has() -> None:
+    setup = set_up_connecting_attempt()
+    exchange, attempt = setup.exchange, setup.attempt
 
     exchange.endpoint_list_received(endpoint_list(b"s1", availability=Availability.GONE, revision=2))
     assert not exchange.may_write(attempt)
@@ -367,32 +369,34 @@
     exchange.endpoint_list_received(list_delta(Endpoint(EndpointEntry(b"s1"), "127.0.0.1", 2), revision=3))
     assert not exchange.may_write(attempt)
 
-    exchange.endpoint_list_received(list_delta(Endpoint(EndpointEntry(b"s1"), attempt.host, attempt.port), revision=4))
+    exchange.endpoint_list_received(
+        list_delta(Endpoint(EndpointEntry(b"s1"), attempt.host, attempt.port), revision=4)
+    )
     assert exchange.may_write(attempt)
 
 
 @real
-async def test_attempt_whose_client_disconnected_while_dialling_is_not_written() -> None:
-    dialling = set_up_dialling_attempt()
-    dialling.has_client_disconnected = True
+async def test_attempt_whose_client_disconnected_while_connecting_is_not_written() -> None:
+    setup = set_up_connecting_attempt()
+    setup.has_client_disconnected = True
 
-    assert not dialling.exchange.may_write(dialling.attempt)
-    assert dialling.exchange.pending_count == 0
-    assert dialling.exchange.counts.disconnected == 1
+    assert not setup.exchange.may_write(setup.attempt)
+    assert setup.exchange.pending_count == 0
+    assert setup.exchange.counts.disconnected == 1
 
-    dialling.exchange.attempt_ended(dialling.attempt, AttemptStatus.NEVER_SENT)
-    assert [type(event) for event in dialling.balancer.events[-2:]] == [ClientDisconnected, Outcome]
-    assert dialling.balancer.last_outcome() == (AttemptStatus.NEVER_SENT, True)
-    assert not dialling.responses
+    setup.exchange.attempt_ended(setup.attempt, AttemptStatus.NEVER_SENT)
+    assert [type(event) for event in setup.balancer.events[-2:]] == [ClientDisconnected, Outcome]
+    assert setup.balancer.last_outcome() == (AttemptStatus.NEVER_SENT, True)
+    assert not setup.responses
 
 
 @real
 async def test_retry_is_not_written_after_its_deduplication_window() -> None:
-    dialling = set_up_dialling_attempt()
+    setup = set_up_connecting_attempt()
 
-    dialling.balancer.allows_writes = False
+    setup.balancer.allows_writes = False
 
-    assert not dialling.exchange.may_write(dialling.attempt)
+    assert not setup.exchange.may_write(setup.attempt)
 
 
 # ---- discovery and the log -----------------------------------------------------------------------
@@ -402,9 +406,8 @@
     ("mode", "is_watching"),
     [
         pytest.param("pushed", True, id="pushed"),
-        pytest.param(
-            "on_request", None, id="on_request"
-        ),  # there the balancer opens it; the scripted one does not
+        # In this mode the balancer opens the watch, which the scripted one does not do.
+        pytest.param("on_request", None, id="on_request"),
     ],
 )
 @real
@@ -423,7 +426,7 @@
 
 
 @real
-async def test_log_names_endpoints_by_name(log_lines: list[str]) -> None:
+async def test_log_shows_endpoint_names_instead_of_ids(log_lines: list[str]) -> None:
     setup = set_up({Request: lambda event: [Log(f"eject {b's1'.hex()}: 3 failures")]})
 
     setup.submit(client_request())
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -1,4 +1,4 @@
-"""The table of pending requests: ids, states, removal and deadlines."""
+"""Tests the table of pending requests: ids, states, removal and deadlines."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Setup:
-    """A table whose callbacks are recorded."""
+    """A table of pending requests that records its callbacks."""
 
     def __init__(self) -> None:
         self.past_deadline: list[PendingRequest] = []
@@ -43,7 +43,7 @@
         return self.table.add(request, lambda response: None, time_left_ms)
 
 
-def final_states(test):
+def for_each_final_state(test):
     return pytest.mark.parametrize("state", FINAL_STATES, ids=lambda state: state.value)(test)
 
 
@@ -81,7 +81,7 @@
 
 
 @real
-async def test_request_ids_count_from_1_and_wrap_round_past_0() -> None:
+async def test_request_ids_start_at_1_and_wrap_around_to_1() -> None:
     setup = Setup()
     assert setup.add().id == 1
     setup.table._last_id = MAX_REQUEST_ID - 1
@@ -89,7 +89,7 @@
     assert [setup.add().id, setup.add().id] == [MAX_REQUEST_ID, 1]
 
 
-@final_states
+@for_each_final_state
 @real
 async def test_request_is_concluded_once(state: PendingState) -> None:
     setup = Setup()
@@ -141,7 +141,7 @@
 
 
 @real
-async def test_request_is_overdue_some_time_after_its_deadline() -> None:
+async def test_request_is_overdue_once_the_response_slack_after_its_deadline_has_passed() -> None:
     setup = Setup()
     pending = setup.add(time_left_ms=5.0)
     loop = asyncio.get_running_loop()
@@ -169,7 +169,7 @@
 
 
 @real
-async def test_removed_request_has_no_deadline() -> None:
+async def test_deadline_callback_is_not_called_for_a_removed_request() -> None:
     setup = Setup()
     removed = setup.add(time_left_ms=5.0)
     setup.table.conclude(removed, PendingState.SERVED)
