--- a/alderspool/transport/client_connection.py
+++ b/alderspool/transport/client_connection.py
@@ -30,7 +30,7 @@
 )
 from alderspool.transport.eviction import EvictionClass
 from alderspool.transport.lingering_close import LingeringCloseStep
-from alderspool.transport.streams import CountingReader, has_ended, is_quiet
+from alderspool.transport.streams import CountingReader, has_ended, is_open_without_input
 
 # By the state, and whether a response has been sent. States without an entry: it must not be evicted, as a
 # request is pending.
@@ -135,9 +135,9 @@
         """
         return has_ended(self.writer)
 
-    def is_quiet(self) -> bool:
+    def is_open_without_input(self) -> bool:
         """Return whether it is open with no unread input."""
-        return is_quiet(self.reader, self.writer)
+        return is_open_without_input(self.reader, self.writer)
 
     # ---- requests and responses ------------------------------------------------------------------
 
@@ -184,7 +184,7 @@
         self.response_sent.set()
 
     def _has_further_input(self) -> bool:
-        return self.codec.has_further_input or not self.is_quiet()
+        return self.codec.has_further_input or not self.is_open_without_input()
 
     def send_continue(self) -> None:
         """Send the interim response that lets the client send the body of its request."""
@@ -220,7 +220,7 @@
 
     def close_if_idle(self) -> bool:
         """Begin the lingering close of an idle connection without unread input; return whether it was one."""
-        if not self.is_idle or not self.is_quiet():
+        if not self.is_idle or not self.is_open_without_input():
             return False
         self.begin_lingering_close()
         return True
@@ -233,7 +233,7 @@
         """
         if self.codec.has_complete_request:
             return False
-        if not self._timeout_deferred and self.awaits_request and not self.is_quiet():
+        if not self._timeout_deferred and self.awaits_request and not self.is_open_without_input():
             self._timeout_deferred = True
             return False
         invalid = self.codec.time_out() if self.awaits_request else None
--- a/alderspool/transport/idle_connections.py
+++ b/alderspool/transport/idle_connections.py
@@ -1,6 +1,6 @@
 """Which idle connection to reuse, and which to close. Decisions only: the pool acts on them.
 
-Nothing here opens, writes to or closes a connection; `is_quiet` of a connection is the only thing that is
+Nothing here opens, writes to or closes a connection; `is_open_without_input` of a connection is the only thing that is
 asked of the outside.
 """
 
@@ -37,7 +37,7 @@
     def last_fingerprint(self) -> ResponseFingerprint | None:
         """The fingerprint of its last response."""
 
-    def is_quiet(self) -> bool:
+    def is_open_without_input(self) -> bool:
         """Whether the connection is open and nothing unread has arrived on it."""
 
 
@@ -99,7 +99,7 @@
         for connection in reversed(self._by_endpoint.get(endpoint, ())):
             idle_s = now_s - connection.idle_since_s
             # What arrived after the last response would be taken for the response to the next attempt.
-            is_fit = connection.is_quiet() and idle_s < self._idle_timeout_s
+            is_fit = connection.is_open_without_input() and idle_s < self._idle_timeout_s
             if not is_fit or connection.port != port or connection.host != host:
                 unfit.append(connection)
             elif self._duplicates.may_reuse(connection.last_fingerprint, idle_s):
--- a/alderspool/transport/streams.py
+++ b/alderspool/transport/streams.py
@@ -53,7 +53,7 @@
     return reader, writer
 
 
-def is_quiet(reader: CountingReader, writer: asyncio.StreamWriter) -> bool:
+def is_open_without_input(reader: CountingReader, writer: asyncio.StreamWriter) -> bool:
     """Return whether the connection is open with nothing unread, here or in the system's buffer."""
     if reader.unread or reader.at_eof() or writer.transport.is_closing():
         return False
--- a/alderspool/transport/upstream_connection.py
+++ b/alderspool/transport/upstream_connection.py
@@ -17,7 +17,7 @@
 from alderspool.protocol.http_client import HttpClientCodec
 from alderspool.protocol.upstream import upstream_codec
 from alderspool.routing.messages import Attempt
-from alderspool.transport.streams import CountingReader, is_quiet
+from alderspool.transport.streams import CountingReader, is_open_without_input
 
 
 class ConnectionState(Enum):
@@ -88,9 +88,9 @@
         self.idle_since_s = 0.0  # the event loop's clock, as the last response was complete
         self.last_fingerprint: ResponseFingerprint | None = None
 
-    def is_quiet(self) -> bool:
+    def is_open_without_input(self) -> bool:
         """Whether the connection is open and nothing unread has arrived on it."""
-        return is_quiet(self.reader, self.writer)
+        return is_open_without_input(self.reader, self.writer)
 
     def write_attempt(self, attempt: Attempt, data: bytes) -> None:
         """Hand the whole request over to the system: CONNECTED or IDLE to ACTIVE.
--- a/alderspool/transport/upstream_pool.py
+++ b/alderspool/transport/upstream_pool.py
@@ -65,7 +65,7 @@
             return
         began_s = self._now()
         self._write(connection, attempt)
-        if not connection.is_quiet() and self._now() - began_s < MIN_RESPONSE_TIME_S:
+        if not connection.is_open_without_input() and self._now() - began_s < MIN_RESPONSE_TIME_S:
             # Sooner than any response to this attempt: it belongs to an earlier one and arrived while we
             # wrote. The attempt is written, and may be executed. Had this process been descheduled meanwhile,
             # it would most likely be the attempt's own response; hence the measured time.
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -37,7 +37,7 @@
     last_fingerprint: int | None = 1
     quiet: bool = True
 
-    def is_quiet(self) -> bool:
+    def is_open_without_input(self) -> bool:
         return self.quiet
 
 
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -15,7 +15,7 @@
 from alderspool.protocol.upstream import ForwardedRequest, UpstreamResponse
 from alderspool.routing.messages import Attempt
 from alderspool.transport.descriptor_budget import DescriptorBudget
-from alderspool.transport.streams import connect, is_quiet
+from alderspool.transport.streams import connect, is_open_without_input
 from alderspool.transport.upstream_connection import UpstreamConnection
 from alderspool.transport.upstream_pool import MIN_RESPONSE_TIME_S, UpstreamPool
 
@@ -80,16 +80,16 @@
     with socket.create_server(("127.0.0.1", 0)) as server:
         reader, writer = await connect(*server.getsockname())
         endpoint, _ = server.accept()
-        assert is_quiet(reader, writer)
+        assert is_open_without_input(reader, writer)
         endpoint.send(OK)
-        assert not is_quiet(reader, writer)  # in the kernel's buffer; the event loop has not read it yet
+        assert not is_open_without_input(reader, writer)  # in the kernel's buffer; the event loop has not read it yet
         while not reader.unread:
             await asyncio.sleep(0.005)
-        assert not is_quiet(reader, writer)  # in the stream reader's buffer
+        assert not is_open_without_input(reader, writer)  # in the stream reader's buffer
         assert await reader.read(1000) == OK
-        assert is_quiet(reader, writer)
+        assert is_open_without_input(reader, writer)
         endpoint.close()
-        assert not is_quiet(reader, writer)
+        assert not is_open_without_input(reader, writer)
         writer.close()
 
 
