--- a/alderspool/transport/discovery.py
+++ b/alderspool/transport/discovery.py
@@ -1,7 +1,8 @@
-"""The client of discovery: keeps the endpoint list up to date by one watch that is opened again when it ends.
+"""Discovery client: keeps the endpoint list up to date with a long-poll watch that is reopened when it ends.
 
-`discovery_watch` has the watch's states and transitions, `discovery_timeouts` and `discovery_backoff` the
-times, `discovery_connection` the connection, `discovery_agent_poll` the polling of an unresponsive agent.
+`discovery_watch` contains the states and transitions of the watch, `discovery_timeouts` and
+`discovery_backoff` the timeouts and retry delays, `discovery_connection` the HTTP connection, and
+`discovery_agent_poll` the polling of an unresponsive local agent.
 """
 
 from __future__ import annotations
@@ -28,57 +29,59 @@
     classify_failure,
 )
 
-MIN_WAIT_MS = 1  # the shortest wait that can be stated: discovery responds at once
-# Discovery keeps a watch open if the next call comes within 0.2 s. After a response that came early and has
-# no update, the next call is delayed by this: a discovery that never waits must not be overloaded with calls.
+MIN_WAIT_MS = 1  # the shortest wait that a call can request: discovery responds immediately
+# Delay before the next call when a watch returns early without an update, so that a discovery service that
+# never waits is not called in a busy loop. Must be below 0.2 s: discovery keeps a watch open only if the next
+# call arrives within that time.
 EARLY_RESPONSE_DELAY_S = 0.1
-MAX_REASON_LENGTH = 200  # characters of an error in the log
+MAX_REASON_LENGTH = 200  # of an error text in the log, in characters
 
 
 class EndpointListObserver(Protocol):
-    """Receives what discovery sends; the exchange in the program."""
+    """Receives the endpoint lists and failures of a discovery client; implemented by the exchange."""
 
     def list_received(self, endpoint_list: EndpointList, /) -> None:
-        """Take over a complete list or an update."""
+        """Apply a complete list or an update."""
 
     def list_call_failed(self, reason: str, /) -> None:
-        """Note that a call failed: the list known so far stays valid."""
+        """Handle a failed call; the list known so far stays valid."""
 
 
 class DiscoveryClient:
     """Watches the endpoint list from one event loop.
 
-    It owns its connections and the task that watches. While the watch is on, that task does not end by
-    itself: whatever a response holds, and whatever error occurs, the next call is made in time. Errors are
-    passed to the exchange as text and never raised.
+    Owns the connections to discovery and the watch task. While watching is enabled, the task never ends by
+    itself: after any response and any error it makes the next call in time. Errors are reported to the
+    observer as text and never raised.
     """
 
     def __init__(
         self,
         address: Address,
-        exchange: EndpointListObserver,
+        observer: EndpointListObserver,
         settings: Settings,
         revision: int,
         seed: int = 0,
     ) -> None:
-        """Start from the configured list, which has this revision; `seed` is that of the backoff's jitter."""
+        """Start from the configured list, whose revision is `revision`; `seed` seeds the backoff jitter."""
         self._address = address
-        self._exchange = exchange
+        self._observer = observer
         self._settings = settings
         self._timeouts = DiscoveryTimeouts.from_settings(settings)
         self._backoff = JitteredBackoff(
             self._timeouts.initial_backoff_s, self._timeouts.max_backoff_s, Random(seed)
         )
         self._uses_local_agent = not settings.list_on_request
-        # What a local agent holds counts as notified from our first moment, so only what it has sent to us
-        # counts as known. A discovery that is polled continues from the configured list.
+        # The protocol treats the proxy as informed of the local agent's list from startup on, so the
+        # configured list may be outdated and the agent's complete list is requested first. Without an agent,
+        # discovery is polled for changes since the configured list.
         self._state = WatchState.FULL_LIST_NEEDED if self._uses_local_agent else WatchState.NOT_WATCHING
         self._revision = revision
         self._has_list = asyncio.Event()
         self._watch_task: asyncio.Task[None] | None = None
 
     async def wait_for_list(self, timeout_s: float) -> bool:
-        """Wait until a list has been received, and return whether one was within the timeout."""
+        """Wait for the first list; return whether one was received within the timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 await self._has_list.wait()
@@ -87,23 +90,23 @@
         return True
 
     def watch(self, on: bool) -> None:
-        """Start the watch, or stop it; no effect where it is so already."""
+        """Start or stop the watch; no effect if it is already in the requested state."""
         if not on:
             self._stop()
         elif self._watch_task is None:
             self._watch_task = asyncio.get_running_loop().create_task(self._run_watch(self._address))
 
     def fetch(self) -> None:
-        """Request the complete list now, and watch from its revision on."""
+        """Request the complete list now, then watch for changes since its revision."""
         self._transition(WatchEvent.FULL_LIST_REQUESTED)
         self._stop()
         self.watch(True)
 
     def move_to(self, address: Address) -> None:
-        """Continue at another address; no effect where it is the present one.
+        """Switch to the discovery service at another address; no effect if it is the current one.
 
-        Its revisions need not continue those of the old discovery. Until it has sent its complete list no
-        changes are requested by revision, and nothing more is accepted from the old one.
+        Revisions of the new service may be unrelated to those of the old one, so its complete list is
+        requested before any changes. Responses of the old service are no longer accepted.
         """
         if address != self._address:
             self._address = address
@@ -111,7 +114,7 @@
 
     def _stop(self) -> None:
         if self._watch_task is not None:
-            # The task is waiting, and ends there: no response to a call that is out is accepted any more.
+            # The task is suspended at an await and ends there; a response to an outstanding call is dropped.
             self._watch_task.cancel()
             self._watch_task = None
 
@@ -124,12 +127,12 @@
                     await self._update_list(connection)
                     failures = 0
                     continue
-                except Exception as error:  # of any kind: nobody would notice a watch that ended here
+                except Exception as error:  # any error: a watch task that ended here would go unnoticed
                     connection.close()
                     transition = self._transition(classify_failure(error))
                     if transition.is_failure:
                         failures += 1
-                        self._exchange.list_call_failed(_reason(error))
+                        self._observer.list_call_failed(_failure_reason(error))
                 if transition.next_call is NextCall.AFTER_BACKOFF:
                     await asyncio.sleep(self._retry_delay_s(failures))
         finally:
@@ -146,24 +149,24 @@
         return self._backoff.delay_s(failures)
 
     async def _update_list(self, connection: DiscoveryConnection) -> None:
-        """Make the call that the state demands, and pass on the list in its response."""
+        """Make the call that is due in the current state, and pass the received list to the observer."""
         state = self._state
         known_revision = self._revision
         clock = asyncio.get_running_loop().time
-        called_at = clock()
+        called_at_s = clock()
         response = await self._call(connection)
         endpoint_list = read_list(response, self._settings)
         revision = endpoint_list.revision
         if state is not WatchState.FULL_LIST_NEEDED and revision < known_revision:
-            # Another discovery than the one we knew, or one that has lost its data: its revisions cannot be
-            # compared with ours.
+            # A different discovery service responded, or the same one after a loss of its data: its revisions
+            # cannot be compared with ours.
             raise RevisionWentBackError(f"revision {revision} after {known_revision}")
-        self._exchange.list_received(endpoint_list)
+        self._observer.list_received(endpoint_list)
         self._revision = revision
         self._transition(WatchEvent.LIST_RECEIVED)
         self._has_list.set()
         if state is WatchState.WATCHING and revision == known_revision:
-            is_early = clock() - called_at < min(EARLY_RESPONSE_DELAY_S, self._timeouts.watch_wait_s)
+            is_early = clock() - called_at_s < min(EARLY_RESPONSE_DELAY_S, self._timeouts.watch_wait_s)
             if is_early:
                 await asyncio.sleep(EARLY_RESPONSE_DELAY_S)
 
@@ -187,8 +190,8 @@
             connection.close()
 
     def _report_unresponsive_agent(self) -> None:
-        self._exchange.list_call_failed("the local agent does not respond")
+        self._observer.list_call_failed("the local agent does not respond")
 
 
-def _reason(error: Exception) -> str:
+def _failure_reason(error: Exception) -> str:
     return str(error)[:MAX_REASON_LENGTH] or type(error).__name__
--- a/alderspool/transport/discovery_agent_poll.py
+++ b/alderspool/transport/discovery_agent_poll.py
@@ -1,9 +1,9 @@
 """Polling of a local discovery agent that has stopped responding.
 
-An agent on the same host responds at once, or does not respond because discovery is down. An update that the
-agent holds when discovery is back counts as notified at once. A poll costs nothing, so an agent that does not
-respond is polled again after a short interval while earlier polls are still outstanding: a merely slow agent
-responds to one of those.
+An agent on the same host responds immediately, or not at all while discovery is down. When discovery is back,
+the protocol treats the proxy as informed of the agent's updates immediately, so the recovery must be noticed
+quickly. Polls of a local agent are cheap: an unresponsive agent is polled again after a short interval while
+earlier polls are still outstanding, so that an agent that is merely slow can respond to one of those.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 
 class AgentPoller:
-    """Polls until one poll, whichever it is, has a response.
+    """Sends polls at an interval until any one of them gets a response. For a single use.
 
-    `send_poll` makes one poll on a connection of its own. `on_no_response` is called whenever the interval
-    has passed with only one poll outstanding. Used once, then discarded.
+    `send_poll` makes one poll on its own connection. `on_no_response` is called whenever an interval ends
+    with exactly one poll outstanding.
     """
 
     def __init__(
@@ -30,10 +30,10 @@
     ) -> None:
         self._send_poll = send_poll
         self._on_no_response = on_no_response
-        self._outstanding: list[asyncio.Task[HttpResponse]] = []  # the oldest first
+        self._outstanding: list[asyncio.Task[HttpResponse]] = []  # oldest first
 
     async def first_response(self) -> HttpResponse:
-        """Return the first response. When this ends, also by cancellation, all other polls are cancelled."""
+        """Return the first response. On return or cancellation, all outstanding polls are cancelled."""
         try:
             while True:
                 self._start_poll()
@@ -50,7 +50,7 @@
             _discard(self._outstanding.pop(0))
 
     async def _await_response(self) -> HttpResponse | None:
-        """Return a response that comes within the interval, or None when the next poll is due."""
+        """Return a response that arrives within the interval, or None when the next poll is due."""
         finished, _ = await asyncio.wait(
             self._outstanding, timeout=AGENT_POLL_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED
         )
@@ -59,7 +59,7 @@
                 return poll.result()
             self._outstanding.remove(poll)
         if finished:
-            # The agent rejected or reset the connection, which takes no time: do not poll in a busy loop.
+            # The agent refused or reset the connection, which takes no time: avoid polling in a busy loop.
             await asyncio.sleep(AGENT_POLL_INTERVAL_S)
         elif len(self._outstanding) == 1:
             self._on_no_response()
@@ -67,6 +67,6 @@
 
 
 def _discard(poll: asyncio.Task[HttpResponse]) -> None:
-    """Cancel a poll; retrieve its error if it has failed, or asyncio would log that nobody did."""
+    """Cancel a poll. If it has failed already, retrieve its exception, or asyncio would log it."""
     if not poll.cancel() and not poll.cancelled():
         poll.exception()
--- a/alderspool/transport/discovery_backoff.py
+++ b/alderspool/transport/discovery_backoff.py
@@ -1,18 +1,18 @@
-"""Exponential backoff with jitter between calls to discovery that fail."""
+"""Exponential backoff with jitter between failed calls to discovery."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from random import Random
 
-MAX_DOUBLINGS = 7  # after a thousand failures the power would overflow
+MAX_DOUBLINGS = 7  # an unbounded power of two would overflow after a thousand failures
 
 
 @dataclass(frozen=True, slots=True)
 class JitteredBackoff:
-    """The delays between failed calls; each is drawn from the upper half of a range that doubles.
+    """Exponential backoff with equal jitter: each delay is drawn from the upper half of a range that doubles.
 
-    All proxies may lose discovery at the same moment. Without the draw they would call again in waves.
+    All proxies may lose discovery at the same moment. Without jitter they would retry in synchronized waves.
     """
 
     initial_s: float
@@ -20,10 +20,10 @@
     random: Random
 
     def delay_s(self, failures: int) -> float:
-        """Draw the delay after so many failed calls in a row.
+        """Return a random delay after `failures` consecutive failed calls.
 
-        After the loss of an open watch there is no failed call yet: the delay is that after a first failure.
+        `failures` is 0 after the loss of an open watch; the delay is then the same as after a first failure.
         """
         doublings = max(min(failures - 1, MAX_DOUBLINGS), 0)
-        longest_s = min(self.initial_s * 2.0**doublings, self.max_s)
-        return longest_s * (0.5 + 0.5 * self.random.random())
+        max_delay_s = min(self.initial_s * 2.0**doublings, self.max_s)
+        return max_delay_s * (0.5 + 0.5 * self.random.random())
--- a/alderspool/transport/discovery_connection.py
+++ b/alderspool/transport/discovery_connection.py
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _OpenConnection:
-    """The streams of an established connection, with the codec that has seen all of its bytes."""
+    """The streams of an established connection, and the HTTP codec that has processed all of its bytes."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -24,23 +24,24 @@
 class DiscoveryConnection:
     """Carries one call at a time, and connects when a call finds no open connection.
 
-    The caller closes it, also after a failed or cancelled call. Nothing is retried here: a second attempt to
-    connect within a call would outlast the time that the call was given.
+    The caller must close it, also after a failed or cancelled call. Connecting is not retried: a second
+    attempt to connect within one call would exceed the timeout of the call.
     """
 
     def __init__(self, address: Address, connect_timeout_s: float) -> None:
         self._address = address
         self._connect_timeout_s = connect_timeout_s
-        self._open: _OpenConnection | None = None
+        self._connection: _OpenConnection | None = None
 
     async def call(self, request: ListRequest) -> HttpResponse:
         """Send a request and return the complete response.
 
-        Raises OSError (TimeoutError among them) and BrokenResponseError. The call itself has no time limit.
+        Raises OSError (including TimeoutError, if connecting times out) and BrokenResponseError. There is no
+        timeout for the response.
         """
-        if self._open is None:
-            self._open = await self._connect()
-        connection = self._open
+        if self._connection is None:
+            self._connection = await self._connect()
+        connection = self._connection
         host, _ = self._address
         connection.writer.write(compose_list_request(connection.codec, host, request))
         response = await read_response(connection.reader, connection.codec)
@@ -49,10 +50,10 @@
         return response
 
     def close(self) -> None:
-        """Abort the connection, if there is one; the next call connects anew."""
-        if self._open is not None:
-            self._open.writer.transport.abort()
-            self._open = None
+        """Abort the connection, if there is one; the next call opens a new one."""
+        if self._connection is not None:
+            self._connection.writer.transport.abort()
+            self._connection = None
 
     async def _connect(self) -> _OpenConnection:
         codec = discovery_codec()
--- a/alderspool/transport/discovery_timeouts.py
+++ b/alderspool/transport/discovery_timeouts.py
@@ -1,4 +1,4 @@
-"""How the time within which an update must be known is divided among the calls to discovery."""
+"""Timeouts of the calls to discovery, as shares of the time within which an update must be known."""
 
 from __future__ import annotations
 
@@ -7,13 +7,14 @@
 
 from alderspool.balancer.settings import Settings
 
-# The protocol page: an update counts as notified this long after it was made, received or not.
-UPDATE_NOTIFIED_AFTER_S = 6.0
+# The discovery protocol treats the proxy as informed of an update this long after the update was made,
+# whether or not it was received.
+UPDATE_PRESUMED_KNOWN_AFTER_S = 6.0
 
-# Shares of that time. A watch may stall right after its call was sent, and discovery may reject the first
-# call after that, up to 3 s after it was made. The watch's wait and grace, one complete call and the backoff
-# after its failure add up to 0.73. The rest is left for a second call, which may wait in discovery's queue
-# for a second and a half, and for a CPU core that is shared with other programs.
+# Shares of that time, which must suffice in this case: a watch stalls right after its call was sent, and
+# discovery rejects the first call after that, up to 3 s after it was made. The wait and grace of the watch,
+# the timeout of that call and the backoff after it add up to 0.73. The rest is left for a second call, which
+# discovery may queue for 1.5 s, and for delays on a CPU core that is shared with other programs.
 WATCH_WAIT_SHARE = 0.1
 WATCH_GRACE_SHARE = 0.05
 CALL_SHARE = 0.53
@@ -26,18 +27,18 @@
 class DiscoveryTimeouts:
     """The timeouts and backoff limits of the calls to discovery, in seconds."""
 
-    watch_wait_s: float  # how long discovery may delay its response to a watch while there is no update
-    watch_grace_s: float  # a watch whose response is later than this after its wait has stalled
-    call_s: float  # for a call that asks for no wait, connecting included; longer than discovery queues one
-    connect_s: float  # shorter than a call: an unreachable discovery must not use up the call's time
-    initial_backoff_s: float  # the longest wait after a first failed call
-    max_backoff_s: float  # the longest wait after any number of failed calls
+    watch_wait_s: float  # how long discovery may hold a watch while there is no update
+    watch_grace_s: float  # a watch without a response this long after its wait has ended is stalled
+    call_s: float  # timeout of a call without a wait, including connecting; longer than discovery queues it
+    connect_s: float  # shorter than call_s: an unreachable discovery must not use up the call's timeout
+    initial_backoff_s: float  # the longest delay after a first failed call
+    max_backoff_s: float  # the longest delay after any number of failed calls
 
     @classmethod
     def from_settings(cls, settings: Settings) -> DiscoveryTimeouts:
-        """Divide the operators' maximum age of the list, or the protocol's 6 s where that is less."""
+        """Divide the configured maximum age of the list, or the protocol's 6 s if that is less."""
         max_age_s = (settings.list_max_age_ms or inf) / 1000.0
-        total_s = min(UPDATE_NOTIFIED_AFTER_S, max_age_s)
+        total_s = min(UPDATE_PRESUMED_KNOWN_AFTER_S, max_age_s)
         return cls(
             watch_wait_s=WATCH_WAIT_SHARE * total_s,
             watch_grace_s=WATCH_GRACE_SHARE * total_s,
--- a/alderspool/transport/discovery_watch.py
+++ b/alderspool/transport/discovery_watch.py
@@ -1,7 +1,7 @@
 """The state machine of the watch on the endpoint list: states, events and the table of transitions.
 
-No I/O and no timers here: `discovery.DiscoveryClient` makes the calls, classifies how they ended, and acts on
-the transition that it looks up.
+Contains no I/O and no timers: `discovery.DiscoveryClient` makes the calls, classifies their results, and acts
+on the transition it looks up here.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 
 class RevisionWentBackError(EndpointListError):
-    """Discovery sent a revision older than the one that is known, so it numbers its revisions anew."""
+    """Discovery sent an older revision than the known one, so its revision numbering has restarted."""
 
 
 class WatchState(Enum):
-    """Which call is due next."""
+    """State of the watch, which determines the next call."""
 
-    FULL_LIST_NEEDED = "full list needed"  # nothing known can be built on: request the complete list
+    FULL_LIST_NEEDED = "full list needed"  # no usable revision is known: request the complete list
     NOT_WATCHING = "not watching"  # no watch is open: request the changes since our revision, without a wait
     WATCHING = "watching"  # the last call succeeded: request the changes since our revision, with a wait
 
 
 class WatchEvent(Enum):
-    """How a call ended, or what the program requested."""
+    """The result of a call, or a request by the program."""
 
     LIST_RECEIVED = "list received"
     CALL_TIMED_OUT = "call timed out"
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """What an event leads to in a state."""
+    """The next state, and how the client continues."""
 
     next_state: WatchState
     next_call: NextCall = NextCall.IMMEDIATELY
@@ -59,21 +59,22 @@
     (WatchState.FULL_LIST_NEEDED, WatchEvent.LIST_RECEIVED): _WATCHING,
     (WatchState.FULL_LIST_NEEDED, WatchEvent.CALL_TIMED_OUT): _FAILED_WITHOUT_LIST,
     (WatchState.FULL_LIST_NEEDED, WatchEvent.CALL_FAILED): _FAILED_WITHOUT_LIST,
-    # Does not occur, since any revision is accepted here; a missing entry would end the watch.
+    # Cannot occur, since any revision is accepted in this state; but a missing entry would end the watch.
     (WatchState.FULL_LIST_NEEDED, WatchEvent.REVISION_WENT_BACK): _FAILED_WITHOUT_LIST,
     (WatchState.FULL_LIST_NEEDED, WatchEvent.FULL_LIST_REQUESTED): _FULL_LIST_NEEDED,
     (WatchState.NOT_WATCHING, WatchEvent.LIST_RECEIVED): _WATCHING,
     (WatchState.NOT_WATCHING, WatchEvent.CALL_TIMED_OUT): _FAILED_WITHOUT_WATCH,
     (WatchState.NOT_WATCHING, WatchEvent.CALL_FAILED): _FAILED_WITHOUT_WATCH,
-    # After a backoff: two discovery services that take turns with different revisions would otherwise be
-    # called without end.
+    # With a backoff, because two discovery services that respond in turn with different revisions would
+    # otherwise be called in an endless loop.
     (WatchState.NOT_WATCHING, WatchEvent.REVISION_WENT_BACK): _FAILED_WITHOUT_LIST,
     (WatchState.NOT_WATCHING, WatchEvent.FULL_LIST_REQUESTED): _FULL_LIST_NEEDED,
     (WatchState.WATCHING, WatchEvent.LIST_RECEIVED): _WATCHING,
-    # The watch has stalled. The next call is made immediately, so that an update missed meanwhile is known
-    # before it counts as notified.
+    # The watch has stalled. The next call is made immediately, so that an update missed meanwhile is received
+    # before the protocol treats the proxy as informed of it.
     (WatchState.WATCHING, WatchEvent.CALL_TIMED_OUT): Transition(WatchState.NOT_WATCHING),
-    # The watch was lost, probably by all proxies at the same moment: they must not call again together.
+    # The watch was lost, probably by all proxies at the same moment: the backoff keeps them from reconnecting
+    # all at once.
     (WatchState.WATCHING, WatchEvent.CALL_FAILED): Transition(
         WatchState.NOT_WATCHING, NextCall.AFTER_BACKOFF
     ),
@@ -83,7 +84,7 @@
 
 
 def classify_failure(error: Exception) -> WatchEvent:
-    """Return the event for a call that ended in this error."""
+    """Return the event for a call that ended with this error."""
     if isinstance(error, RevisionWentBackError):
         return WatchEvent.REVISION_WENT_BACK
     if isinstance(error, TimeoutError):
--- a/alderspool/transport/health_check.py
+++ b/alderspool/transport/health_check.py
@@ -1,4 +1,4 @@
-"""One health check of an endpoint, on a connection of its own."""
+"""A single health check of an endpoint, on its own connection."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 async def check_health(host: str, port: int) -> AttemptStatus:
-    """Connect, request `/health`, and say how it went.
+    """Connect to an endpoint, request `/health`, and return the result.
 
-    OK and REJECTED are the endpoint's own statement. CONNECT_FAILED: no connection within the timeout;
-    TIMEOUT: a connection, but no response within it; RESET: the response was cut short or is not valid HTTP.
+    OK and REJECTED: what the endpoint responded. CONNECT_FAILED: the connection failed or was not established
+    within the timeout. TIMEOUT: connected, but no response within the timeout. RESET: the response was cut
+    short or is not valid HTTP.
     """
     status = AttemptStatus.CONNECT_FAILED
     try:
@@ -32,6 +33,6 @@
     except TimeoutError:
         pass
     except (OSError, BrokenResponseError):
-        if status == AttemptStatus.TIMEOUT:  # the connection was there
+        if status == AttemptStatus.TIMEOUT:  # the connection had been established
             status = AttemptStatus.RESET
     return status
