--- a/alderspool/transport/idle_connections.py
+++ b/alderspool/transport/idle_connections.py
@@ -1,7 +1,7 @@
-"""Which idle connection to reuse, and which to close. Decisions only: the pool acts on them.
+"""Keeps track of idle connections, and selects which one to reuse and which ones to close.
 
-Nothing here opens, writes to or closes a connection; `is_open_without_input` of a connection is the only thing that is
-asked of the outside.
+Nothing here opens, writes to or closes a connection: the pool does that. The only access to a socket is a
+connection's `is_open_without_input`.
 """
 
 from __future__ import annotations
@@ -15,111 +15,113 @@
 
 
 class IdleConnection(Protocol):
-    """What the decisions need to know of a connection."""
+    """The properties of a connection that the selection depends on."""
 
     @property
     def endpoint(self) -> EndpointId:
-        """The endpoint that the connection leads to."""
+        """The endpoint to which the connection was opened."""
 
     @property
     def host(self) -> str:
-        """The host that it was opened to; the endpoint may have moved since."""
+        """The host to which it was opened; the endpoint's address may have changed since."""
 
     @property
     def port(self) -> int:
-        """The port that it was opened to."""
+        """The port to which it was opened."""
 
     @property
     def idle_since_s(self) -> float:
-        """When its last response was complete."""
+        """When its last response was completed."""
 
     @property
     def last_fingerprint(self) -> ResponseFingerprint | None:
         """The fingerprint of its last response."""
 
     def is_open_without_input(self) -> bool:
-        """Whether the connection is open and nothing unread has arrived on it."""
+        """Whether the connection is open and has no unread input."""
 
 
 Connection = TypeVar("Connection", bound=IdleConnection)
 
 
 @dataclass(slots=True)
-class Choice(Generic[Connection]):
-    """What to do for one attempt: the connection to reuse, if any, and those found unfit while choosing."""
+class ReuseSelection(Generic[Connection]):
+    """The selection for one attempt: the connection to reuse, if any, and unusable ones found on the way."""
 
-    reuse: Connection | None
-    close: list[Connection]
+    to_reuse: Connection | None
+    to_close: list[Connection]
 
 
 class IdleConnections(Generic[Connection]):
-    """The idle connections of a pool, by endpoint and by age.
+    """The idle connections of a pool, by endpoint and by idle time.
 
-    Connections are added as they become idle, so that both orders are from the longest idle to the most
-    recently used one. No operation on one connection costs more where there are more endpoints; within one
-    endpoint, removing the most recently used connection is constant, and removing another one is linear.
+    Connections are added as they become idle, so both orders run from the longest idle to the most recently
+    used one. The cost of an operation on one connection does not depend on the number of endpoints. Within an
+    endpoint, removing the most recently used connection takes constant time, and removing any other one takes
+    linear time.
     """
 
     def __init__(self, idle_timeout_s: float, duplicates: DuplicateResponseDetector) -> None:
         self._idle_timeout_s = idle_timeout_s
         self._duplicates = duplicates
-        # Every idle connection, the longest idle first, with the list of its endpoint that it is in.
-        self._by_age: OrderedDict[Connection, list[Connection]] = OrderedDict()
-        self._by_endpoint: dict[EndpointId, list[Connection]] = {}  # none of the lists is empty
+        # Maps every idle connection, longest idle first, to the list in `_by_endpoint` that contains it.
+        self._by_idle_time: OrderedDict[Connection, list[Connection]] = OrderedDict()
+        self._by_endpoint: dict[EndpointId, list[Connection]] = {}  # without empty lists
 
     def __len__(self) -> int:
-        return len(self._by_age)
+        return len(self._by_idle_time)
 
     def add(self, connection: Connection) -> None:
-        """Add a connection that has become idle just now."""
-        of_endpoint = self._by_endpoint.get(connection.endpoint)
-        if of_endpoint is None:
-            of_endpoint = self._by_endpoint[connection.endpoint] = []
-        of_endpoint.append(connection)
-        self._by_age[connection] = of_endpoint
+        """Add a connection that has just become idle."""
+        same_endpoint = self._by_endpoint.get(connection.endpoint)
+        if same_endpoint is None:
+            same_endpoint = self._by_endpoint[connection.endpoint] = []
+        same_endpoint.append(connection)
+        self._by_idle_time[connection] = same_endpoint
 
     def discard(self, connection: Connection) -> None:
         """Remove a connection; one that is not idle is ignored."""
-        of_endpoint = self._by_age.pop(connection, None)
-        if of_endpoint is None:
+        same_endpoint = self._by_idle_time.pop(connection, None)
+        if same_endpoint is None:
             return
-        if of_endpoint[-1] is connection:  # the usual case: reuse takes the most recently used one
-            of_endpoint.pop()
+        if same_endpoint[-1] is connection:  # the usual case: it is taken for reuse
+            same_endpoint.pop()
         else:
-            of_endpoint.remove(connection)
-        if not of_endpoint:
+            same_endpoint.remove(connection)
+        if not same_endpoint:
             del self._by_endpoint[connection.endpoint]
 
-    def choose(self, endpoint: EndpointId, host: str, port: int, now_s: float) -> Choice[Connection]:
-        """Choose the most recently used connection that is fit to carry an attempt to this address.
+    def select(self, endpoint: EndpointId, host: str, port: int, now_s: float) -> ReuseSelection[Connection]:
+        """Select the most recently used connection that can carry an attempt to this address.
 
-        Nothing is removed. Connections that a duplicate response may still reach are left idle.
+        No connection is removed. Those on which a duplicate response may still arrive are neither reused nor
+        reported as unusable.
         """
-        unfit: list[Connection] = []
+        unusable: list[Connection] = []
         for connection in reversed(self._by_endpoint.get(endpoint, ())):
             idle_s = now_s - connection.idle_since_s
-            # What arrived after the last response would be taken for the response to the next attempt.
-            is_fit = connection.is_open_without_input() and idle_s < self._idle_timeout_s
-            if not is_fit or connection.port != port or connection.host != host:
-                unfit.append(connection)
+            # Input that arrived after the last response would be taken for the response to the next attempt.
+            is_usable = connection.is_open_without_input() and idle_s < self._idle_timeout_s
+            if not is_usable or connection.port != port or connection.host != host:
+                unusable.append(connection)
             elif self._duplicates.may_reuse(connection.last_fingerprint, idle_s):
-                return Choice(connection, unfit)
-        return Choice(None, unfit)
+                return ReuseSelection(connection, unusable)
+        return ReuseSelection(None, unusable)
 
-    def of_endpoint(self, endpoint: EndpointId) -> list[Connection]:
-        """Return the connections of one endpoint, the longest idle first."""
+    def for_endpoint(self, endpoint: EndpointId) -> list[Connection]:
+        """Return the idle connections to an endpoint, longest idle first."""
         return list(self._by_endpoint.get(endpoint, ()))
 
     def expired(self, now_s: float) -> list[Connection]:
-        """Return the connections that have reached the idle timeout, the longest idle first."""
+        """Return the connections that have reached the idle timeout, longest idle first."""
         cutoff_s = now_s - self._idle_timeout_s
-        found: list[Connection] = []
-        for connection in self._by_age:
+        expired: list[Connection] = []
+        for connection in self._by_idle_time:
             if connection.idle_since_s > cutoff_s:
                 break
-            found.append(connection)
-        return found
+            expired.append(connection)
+        return expired
 
     def longest_idle(self) -> Connection | None:
         """Return the connection to evict first, or None if there is none."""
-        return next(iter(self._by_age), None)
+        return next(iter(self._by_idle_time), None)
--- a/alderspool/transport/upstream_connection.py
+++ b/alderspool/transport/upstream_connection.py
@@ -1,8 +1,7 @@
 """One connection to an endpoint: its state, and the attempt that it carries.
 
-What belongs here: the states of a connection and what each change of state does to the connection and its
-attempt. What does not: which connection carries which attempt (`idle_connections.py`), and when to connect,
-write and read (`upstream_pool.py`).
+Contains the states of a connection and the effects of each state change on the connection and its attempt.
+`idle_connections.py` selects the connection for an attempt; `upstream_pool.py` connects, writes and reads.
 """
 
 from __future__ import annotations
@@ -21,24 +20,24 @@
 
 
 class ConnectionState(Enum):
-    """What a connection can do next."""
+    """State of a connection."""
 
-    CONNECTED = auto()  # nothing has been written yet
-    ACTIVE = auto()  # an attempt has been written, its response is not complete
-    IDLE = auto()  # the last response was complete; the connection may carry another attempt
-    CLOSED = auto()  # carries no further attempt; the socket is closed, or will be as its reading task ends
+    CONNECTED = auto()  # established, nothing written yet
+    ACTIVE = auto()  # an attempt has been written and its response is incomplete
+    IDLE = auto()  # the last response is complete; the connection may carry another attempt
+    CLOSED = auto()  # carries no further attempt; the socket is closed, or will be when its reading task ends
 
 
 @dataclass(frozen=True, slots=True)
 class Transition:
-    """A change of state: the states in which it is allowed, and the one that it leads to."""
+    """A state change: the states in which it is allowed, and the resulting state."""
 
     sources: tuple[ConnectionState, ...]
     target: ConnectionState
 
 
-# Kept as constants: CPython 3.11 takes a Python call for each access to a member of an enum, and another for
-# each hash of one, and two transitions are made for each attempt.
+# Module constants, to avoid the cost of enum members on the hot path: in CPython 3.11 each access to a member
+# and each hash of one is a Python call, and every attempt makes two transitions.
 WRITE_ATTEMPT: Final = Transition((ConnectionState.CONNECTED, ConnectionState.IDLE), ConnectionState.ACTIVE)
 BECOME_IDLE: Final = Transition((ConnectionState.ACTIVE,), ConnectionState.IDLE)
 RETIRE: Final = Transition((ConnectionState.ACTIVE,), ConnectionState.CLOSED)
@@ -47,13 +46,13 @@
 
 
 class InvalidTransitionError(RuntimeError):
-    """A change of state that the table does not allow: a fault in this program, not of an endpoint."""
+    """A state change that the transitions do not allow: a bug in this program, not an endpoint failure."""
 
 
 class UpstreamConnection:
-    """One connection to an endpoint. It carries one attempt at a time: `attempt` is set while ACTIVE.
+    """One connection to an endpoint, which carries one attempt at a time; `attempt` is set while ACTIVE.
 
-    Owned by the reading task of the pool, which closes it as it ends.
+    Owned by its reading task in the pool, which closes it on exit.
     """
 
     __slots__ = (
@@ -85,17 +84,17 @@
         self.codec: HttpClientCodec = upstream_codec()
         self.state = ConnectionState.CONNECTED
         self.attempt: Attempt | None = None
-        self.idle_since_s = 0.0  # the event loop's clock, as the last response was complete
+        self.idle_since_s = 0.0  # event loop time at which the last response was completed
         self.last_fingerprint: ResponseFingerprint | None = None
 
     def is_open_without_input(self) -> bool:
-        """Whether the connection is open and nothing unread has arrived on it."""
+        """Whether the connection is open and has no unread input."""
         return is_open_without_input(self.reader, self.writer)
 
     def write_attempt(self, attempt: Attempt, data: bytes) -> None:
-        """Hand the whole request over to the system: CONNECTED or IDLE to ACTIVE.
+        """Write the complete request to the transport: CONNECTED or IDLE to ACTIVE.
 
-        From here on the attempt may be executed, whatever becomes of the connection.
+        From now on the endpoint may execute the attempt, even if the connection fails.
         """
         self._change_state(WRITE_ATTEMPT)
         self.attempt = attempt
@@ -104,18 +103,18 @@
         self.writer.write(data)
 
     def become_idle(self, now_s: float) -> None:
-        """Detach the attempt, whose response is complete: ACTIVE to IDLE. `now_s`: the event loop's clock."""
+        """Detach the attempt, whose response is complete: ACTIVE to IDLE. `now_s` is the event loop time."""
         self._change_state(BECOME_IDLE)
         self._detach_attempt()
         self.idle_since_s = now_s
 
     def retire(self) -> None:
-        """Detach the attempt; the reading task ends next and closes the socket: ACTIVE to CLOSED."""
+        """Detach the attempt: ACTIVE to CLOSED. The reading task ends next and closes the socket."""
         self._change_state(RETIRE)
         self._detach_attempt()
 
     def close(self) -> None:
-        """Detach the attempt, if there is one, and close the socket at once: any state to CLOSED."""
+        """Detach the attempt, if there is one, and close the socket immediately: any state to CLOSED."""
         self._change_state(CLOSE)
         self._detach_attempt()
         self.writer.transport.abort()
@@ -133,5 +132,5 @@
         self.state = transition.target
 
 
-# What `Attempt.transport_handle` holds: the task that connects, then the connection that carries the attempt.
+# The type of `Attempt.transport_handle`: the connecting task, then the connection that carries the attempt.
 TransportHandle: TypeAlias = asyncio.Task[None] | UpstreamConnection | None
--- a/alderspool/transport/upstream_pool.py
+++ b/alderspool/transport/upstream_pool.py
@@ -1,8 +1,7 @@
-"""The pool of connections to endpoints: one attempt at a time on each, reused while surely open.
+"""The pool of connections to endpoints: one attempt at a time on each, reused only if known to be open.
 
-What belongs here: opening connections, writing attempts, reading responses, and reporting to the exchange.
-What does not: the choice among idle connections (`idle_connections.py`) and the states of a connection
-(`upstream_connection.py`).
+Opens connections, writes attempts, reads responses and reports outcomes to the exchange. The selection among
+idle connections is in `idle_connections.py`, the states of a connection in `upstream_connection.py`.
 """
 
 from __future__ import annotations
@@ -24,22 +23,22 @@
 from alderspool.transport.streams import READ_SIZE, connect
 from alderspool.transport.upstream_connection import TransportHandle, UpstreamConnection
 
-# We close a connection that has been idle for this share of the endpoint's own idle timeout. The endpoint may
-# close it at any time up to that timeout, and an attempt written at that moment would be lost without proof
-# that it was not executed.
+# A connection is closed when it has been idle for this share of the endpoint's own idle timeout. The endpoint
+# may close it at any time up to that timeout, and an attempt written at that moment would be lost without
+# proof that it was not executed.
 IDLE_TIMEOUT_SHARE = 0.6
 SWEEP_INTERVAL_S = 0.5
-# No response arrives sooner after its request was written: the network round trip alone takes longer.
+# No response arrives sooner after its request was written, because the network round trip alone takes longer.
 MIN_RESPONSE_TIME_S = 0.00015
 
 
 class UpstreamPool:
-    """Carries attempts to endpoints and reports to the exchange how each ended.
+    """Sends attempts to endpoints and reports the outcome of each to the exchange.
 
-    Owns the connections, the tasks that read them, and their part of the descriptor budget. The exchange
-    calls `dispatch`, `cancel`, `close_idle` and `probe`; none of them blocks or raises for a fault of an
-    endpoint. The end of each dispatched attempt is reported exactly once by `Exchange.attempt_ended`, which
-    may happen before `dispatch` returns; that of a cancelled one is not reported.
+    Owns the connections, the tasks that read from them, and the upstream share of the descriptor budget. The
+    exchange calls `dispatch`, `cancel`, `close_idle` and `probe`; none of them blocks, or raises when an
+    endpoint fails. Each dispatched attempt is reported exactly once by calling `Exchange.attempt_ended`,
+    possibly before `dispatch` returns. Cancelled attempts are not reported.
     """
 
     def __init__(self, exchange: Exchange, settings: Settings, budget: DescriptorBudget) -> None:
@@ -63,17 +62,18 @@
         if connection is None:
             attempt.transport_handle = self._spawn(self._run_connection(attempt))
             return
-        began_s = self._now()
+        write_started_at_s = self._now()
         self._write(connection, attempt)
-        if not connection.is_open_without_input() and self._now() - began_s < MIN_RESPONSE_TIME_S:
-            # Sooner than any response to this attempt: it belongs to an earlier one and arrived while we
-            # wrote. The attempt is written, and may be executed. Had this process been descheduled meanwhile,
-            # it would most likely be the attempt's own response; hence the measured time.
+        if not connection.is_open_without_input() and self._now() - write_started_at_s < MIN_RESPONSE_TIME_S:
+            # The input arrived too soon to be the response to this attempt: it belongs to an earlier one and
+            # arrived during the write. The attempt has been written and may be executed. The elapsed time is
+            # checked because, if this process was descheduled during the write, the input is most likely the
+            # attempt's own response.
             connection.close()
             self._exchange.attempt_ended(attempt, AttemptStatus.RESET)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Stop connecting, or close the connection that carries the attempt. Nothing is reported."""
+        """Stop connecting, or close the connection that carries the attempt, without reporting its end."""
         handle: TransportHandle = attempt.transport_handle
         attempt.transport_handle = None
         if isinstance(handle, UpstreamConnection):
@@ -83,32 +83,32 @@
 
     def close_idle(self, endpoint: EndpointId) -> None:
         """Close the idle connections to an endpoint."""
-        for connection in self._idle.of_endpoint(endpoint):
+        for connection in self._idle.for_endpoint(endpoint):
             self._close_idle_connection(connection)
 
     def probe(self, endpoint: EndpointId, host: str, port: int) -> None:
-        """Start a health check; its result is reported by `Exchange.health_check_ended`."""
+        """Start a health check; its result is reported by calling `Exchange.health_check_ended`."""
         self._spawn(self._run_health_check(endpoint, host, port))
 
     # ---- idle connections ----------------------------------------------------------------------
 
     def _take_idle(self, attempt: Attempt) -> UpstreamConnection | None:
-        """Take an idle connection to where the endpoint is now; those found unfit are closed."""
-        choice = self._idle.choose(attempt.endpoint, attempt.host, attempt.port, self._now())
-        for unfit in choice.close:
-            self._close_idle_connection(unfit)
-        if choice.reuse is not None:
-            self._idle.discard(choice.reuse)
-        return choice.reuse
+        """Take an idle connection to the endpoint's current address, and close unusable ones on the way."""
+        selection = self._idle.select(attempt.endpoint, attempt.host, attempt.port, self._now())
+        for unusable in selection.to_close:
+            self._close_idle_connection(unusable)
+        if selection.to_reuse is not None:
+            self._idle.discard(selection.to_reuse)
+        return selection.to_reuse
 
     def _sweep(self) -> None:
-        """Close what has reached the idle timeout, before the endpoint does."""
+        """Close connections that have reached the idle timeout, before their endpoints do."""
         self._loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         for connection in self._idle.expired(self._now()):
             self._close_idle_connection(connection)
 
     def _evict_longest_idle(self) -> bool:
-        """Close one idle connection to free its descriptor; whether there was one."""
+        """Close the longest idle connection to free its descriptor; return whether there was one."""
         connection = self._idle.longest_idle()
         if connection is None:
             return False
@@ -122,16 +122,15 @@
     # ---- connect, write, read ------------------------------------------------------------------
 
     async def _run_connection(self, attempt: Attempt) -> None:
-        """Open a connection for the attempt, and serve it until it ends."""
+        """Open a connection for the attempt, and read from the connection until it ends."""
         must_evict = self._budget.is_exhausted
         if not self._budget.try_make_room():
-            self._exchange.attempt_ended(
-                attempt, AttemptStatus.CONNECT_FAILED
-            )  # no descriptor to connect with
+            # No descriptor is available for a connection.
+            self._exchange.attempt_ended(attempt, AttemptStatus.CONNECT_FAILED)
             return
         if must_evict:
-            # An evicted connection is closed on the event loop's next turn: without this wait, a burst of new
-            # connections would exceed the limit.
+            # An evicted connection is closed in the next iteration of the event loop: without this wait, a
+            # burst of new connections would exceed the limit.
             await asyncio.sleep(0)
         self._budget.acquire()
         try:
@@ -141,7 +140,7 @@
                 return
             try:
                 if not self._exchange.may_write(attempt):
-                    # Its request is over, or its endpoint began to drain while we connected.
+                    # While connecting, the request ended or the endpoint started to drain.
                     self._exchange.attempt_ended(attempt, AttemptStatus.NEVER_SENT)
                     return
                 self._write(connection, attempt)
@@ -152,13 +151,13 @@
             self._budget.release()
 
     async def _connect(self, attempt: Attempt) -> UpstreamConnection | None:
-        """Return a new connection to the attempt's endpoint, or None if none can be opened in time."""
+        """Open a connection to the attempt's endpoint; return None if that fails or times out."""
         try:
             async with asyncio.timeout(self._connect_timeout_s):
                 reader, writer = await connect(attempt.host, attempt.port)
         except (OSError, TimeoutError):
             return None
-        # From here on `cancel` must not cancel the task: it has a connection to close.
+        # From here on `cancel` must not cancel this task, which has an open connection to close.
         attempt.transport_handle = None
         return UpstreamConnection(attempt.endpoint, attempt.host, attempt.port, reader, writer)
 
@@ -168,24 +167,24 @@
         connection.write_attempt(attempt, data)
 
     async def _read(self, connection: UpstreamConnection) -> None:
-        """Read until the connection ends; also while it is idle, so that its end is noticed at once."""
-        is_open = True
-        while is_open:
+        """Read until the connection ends, also while it is idle, so that a close is noticed immediately."""
+        keep_reading = True
+        while keep_reading:
             try:
                 data = await connection.reader.read(READ_SIZE)
             except OSError:
                 data = None
             attempt = connection.attempt
             if attempt is None:
-                # It ended while idle, its attempt was cancelled, or the response is unsolicited.
+                # The connection ended while idle, its attempt was cancelled, or the input is unsolicited.
                 self._idle.discard(connection)
                 return
-            is_open = self._receive(connection, attempt, data)
+            keep_reading = self._receive(connection, attempt, data)
 
     def _receive(self, connection: UpstreamConnection, attempt: Attempt, data: bytes | None) -> bool:
-        """Process what was read while an attempt was out; whether to read on.
+        """Process what was read while an attempt is pending; return whether to continue reading.
 
-        `data` is empty at the end of the stream, and None where the connection was reset.
+        `data` is empty at the end of the stream, and None if the connection was reset.
         """
         try:
             response = connection.codec.receive(data)
@@ -195,7 +194,7 @@
         if response is None:
             return True
         if self._is_duplicate(connection, response):
-            # The attempt's own response may be on its way, or not: nobody can tell.
+            # The attempt's own response may or may not still arrive; the two cases cannot be told apart.
             self._retire(connection, attempt, AttemptStatus.RESET)
             return False
         outcome = read_outcome(response)
@@ -227,18 +226,18 @@
     # ---- health checks and tasks ---------------------------------------------------------------
 
     async def _run_health_check(self, endpoint: EndpointId, host: str, port: int) -> None:
-        began_s = self._loop.time()
+        started_at_s = self._loop.time()
         status = AttemptStatus.CONNECT_FAILED
         self._budget.acquire()
         try:
             status = await check_health(host, port)
         finally:
             self._budget.release()
-            took_ms = (self._loop.time() - began_s) * 1000.0
-            self._exchange.health_check_ended(endpoint, status, took_ms)
+            latency_ms = (self._loop.time() - started_at_s) * 1000.0
+            self._exchange.health_check_ended(endpoint, status, latency_ms)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self._loop.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)  # the event loop itself keeps only weak references
         task.add_done_callback(self._tasks.discard)
         return task
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The client of discovery: which updates it knows in time, whatever discovery or a local agent does."""
+"""The discovery client: it receives updates in time in spite of failures of discovery or a local agent."""
 
 from __future__ import annotations
 
@@ -29,29 +29,29 @@
 )
 
 LOCAL_AGENT = {"discovery": "pushed"}
-# The time after which an update counts as notified, in some tests: a third of the protocol's, to save time.
-UPDATE_TIME_S = 2.0
+# The time after which an update is presumed known, in some tests: a third of the protocol's, to save time.
+UPDATE_DEADLINE_S = 2.0
 PROXY_COUNT = 40
 BACKOFF_COUNT = 6
 
 
-def with_update_time(seconds: float) -> dict:
-    """Return settings in which an update counts as notified after this time."""
+def with_update_deadline(seconds: float) -> dict:
+    """Return settings in which an update is presumed known after this time."""
     return {"rules": SETTINGS["rules"] | {"ask_within_ms": 1000.0 * seconds}}
 
 
 def targets_of(party: Party) -> list[bytes]:
-    """Return the targets of the requests that have come in."""
+    """Return the targets of the requests received so far."""
     return [request_line.split()[1] for request_line, _, _ in party.got]
 
 
 async def statuses_of_requests(rig: Rig, count: int, *args: str) -> list[int]:
-    """Return the response statuses of so many requests through the proxy, sent one after the other."""
+    """Send `count` requests through the proxy, one after the other, and return the response statuses."""
     return [(await rig.ask(*args))[0] for _ in range(count)]
 
 
 class RecordingExchange:
-    """In the place of the exchange; counts the failed calls."""
+    """A fake exchange that counts the failed calls."""
 
     def __init__(self) -> None:
         self.failures = 0
@@ -64,7 +64,7 @@
 
 
 class FailingExchange(RecordingExchange):
-    """Raises an unexpected error for each of the first lists."""
+    """Raises an unexpected error for each of the first `errors` lists."""
 
     def __init__(self, errors: int) -> None:
         super().__init__()
@@ -83,7 +83,7 @@
 
 @real
 async def test_list_of_a_slow_local_agent_is_known_before_the_first_client_is_admitted() -> None:
-    """The configured list is old: it has s1 as ready, which is draining. The agent responds late."""
+    """The configured list is outdated: it shows s1 as ready, but s1 is draining. The agent responds late."""
     async with Rig(Party("s1"), Party("s2"), settings=LOCAL_AGENT, await_ready=False) as rig:
         draining, ready = rig.endpoints
         await rig.asked(1)
@@ -94,7 +94,7 @@
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
         assert (len(draining.got), len(ready.got)) == (0, 6)
         targets = targets_of(rig.discovery)
-        assert targets[0] == b"/v1/endpoints"  # complete: the agent's revisions need not continue ours
+        assert targets[0] == b"/v1/endpoints"  # complete: the agent's revisions may be unrelated to ours
         assert targets[1].startswith(b"/v1/endpoints?since=7&timeout_ms=600")
 
 
@@ -106,18 +106,18 @@
 
 @real
 @pytest.mark.parametrize("delay_s", [0.0, 0.4], ids=["fast agent", "slow agent"])
-async def test_update_of_an_agent_that_responds_again_is_known_at_once(delay_s: float) -> None:
-    """The agent did not respond while discovery was down; the update that it has afterwards counts at once.
+async def test_update_of_an_agent_that_responds_again_is_received_immediately(delay_s: float) -> None:
+    """An agent that did not respond while discovery was down has an update as soon as it recovers.
 
-    One call came in just before the agent is back; the next one must not wait for that one. Nor must an
-    agent be given up that takes some time for each response.
+    The update is presumed known immediately. A call that the agent received just before its recovery gets no
+    response, and the next call must not wait for it. A slow agent must not be given up either.
     """
-    is_back = asyncio.Event()
+    has_recovered = asyncio.Event()
 
     async def reply(party: Party) -> bytes | None:
         if len(party.got) == 1:
             return rig.list_of(draining.entry(), ready.entry(), index=4, snapshot=True)
-        if not is_back.is_set():
+        if not has_recovered.is_set():
             return None
         await asyncio.sleep(delay_s)
         return rig.list_of(draining.entry(status="draining"), index=9)
@@ -130,10 +130,10 @@
         calls_before = len(rig.discovery.got)
         while len(rig.discovery.got) < calls_before + 3:
             await asyncio.sleep(0.001)
-        is_back.set()
-        back_at = time.monotonic()
+        has_recovered.set()
+        recovered_at = time.monotonic()
         await calls_until(rig.discovery, b"since=9&")
-        assert time.monotonic() - back_at < delay_s + 1.0  # 0.15 s, and what a busy host adds
+        assert time.monotonic() - recovered_at < delay_s + 1.0  # the 0.15 s interval, and delays by host load
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
         assert (len(draining.got), len(ready.got)) == (0, 6)
 
@@ -143,10 +143,10 @@
 
 @real
 @pytest.mark.parametrize("settings", [LOCAL_AGENT, {}], ids=["local agent", "polled discovery"])
-async def test_stalled_watch_is_opened_again_at_once_and_catches_up(settings: dict) -> None:
-    """No call that waits gets a response.
+async def test_stalled_watch_is_reopened_immediately_and_catches_up(settings: dict) -> None:
+    """Calls with a wait get no response.
 
-    The drain comes with the second call without a wait; the first one is the call at the start.
+    The first call without a wait is made at the start. The response to the second one has s1 as draining.
     """
     responses = 0
 
@@ -159,7 +159,7 @@
             return rig.list_of(draining.entry(), ready.entry(), index=4, snapshot=True)
         return rig.list_of(draining.entry(status="draining"), index=9)
 
-    rig = Rig(Party("s1"), Party("s2"), settings=settings | with_update_time(UPDATE_TIME_S))
+    rig = Rig(Party("s1"), Party("s2"), settings=settings | with_update_deadline(UPDATE_DEADLINE_S))
     draining, ready = rig.endpoints
     rig.discovery.reply = reply
     async with rig:
@@ -175,13 +175,13 @@
 
 @real
 @pytest.mark.parametrize("failure", ["no response", "rejected", "garbage", "reset", "unknown status"])
-async def test_update_missed_by_a_stalled_watch_is_known_in_time_although_the_next_call_fails(
+async def test_update_missed_by_a_stalled_watch_is_received_in_time_although_the_next_call_fails(
     failure: str,
 ) -> None:
-    """The watch stalls from its first moment, and the call after it fails too.
+    """The watch stalls as soon as it is opened, and the next call fails too.
 
-    That call fails as slowly as it can, at once, or with a body that is no list. The one after it is queued
-    in discovery for long. The drain is known before it counts as notified.
+    That call times out, fails immediately, or gets a response that is not a valid list. Discovery queues the
+    call after it for a long time. The draining status of s1 must be received before it is presumed known.
     """
     stalled_at: float | None = None
     calls_without_wait = 0
@@ -197,10 +197,10 @@
         calls_without_wait += 1
         if calls_without_wait == 1:
             return failed_responses[failure]
-        await asyncio.sleep(0.2 * UPDATE_TIME_S)
+        await asyncio.sleep(0.2 * UPDATE_DEADLINE_S)
         return rig.list_of(draining.entry(status="draining"), index=9)
 
-    rig = Rig(Party("s1"), Party("s2"), settings=with_update_time(UPDATE_TIME_S))
+    rig = Rig(Party("s1"), Party("s2"), settings=with_update_deadline(UPDATE_DEADLINE_S))
     failed_responses = {
         "no response": None,
         "rejected": BARE_503,
@@ -213,7 +213,7 @@
     async with rig:
         await calls_until(rig.discovery, b"since=9&")
         assert stalled_at is not None
-        assert time.monotonic() - stalled_at < UPDATE_TIME_S
+        assert time.monotonic() - stalled_at < UPDATE_DEADLINE_S
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
         assert (len(draining.got), len(ready.got)) == (0, 6)
 
@@ -223,13 +223,13 @@
 
 @real
 async def test_older_revision_on_a_watch_leads_to_a_request_for_the_complete_list() -> None:
-    """Discovery has lost its data and numbers its revisions anew: they cannot be compared with ours."""
+    """Discovery has lost its data and restarted its revision numbering, so revisions are not comparable."""
 
     def reply(party: Party) -> bytes | None:
         request_line = party.got[-1][0]
         if b"since=" not in request_line:
             return rig.list_of(ready.entry(), index=2, snapshot=True)
-        if b"since=40&" in request_line:  # as if s1, which is draining by now, were ready again
+        if b"since=40&" in request_line:  # shows s1 as ready, although it is draining
             return rig.list_of(draining.entry(), index=1)
         if b"since=2&" in request_line:
             return None
@@ -250,8 +250,8 @@
 
 
 @real
-async def test_revisions_that_go_back_each_time_do_not_cause_a_storm_of_calls() -> None:
-    """Two services that do not know of each other may respond in turn: complete lists of 40, updates of 1."""
+async def test_revisions_that_go_back_each_time_do_not_cause_a_busy_loop_of_calls() -> None:
+    """Two inconsistent services respond in turn: complete lists have revision 40, updates revision 1."""
 
     def reply(party: Party) -> bytes:
         is_complete = b"since=" not in party.got[-1][0]
@@ -264,7 +264,7 @@
     client.watch(True)
     await asyncio.sleep(1.0)
     client.watch(False)
-    assert 4 <= len(inconsistent.got) <= 20  # two for each backoff of 0.15 s or more
+    assert 4 <= len(inconsistent.got) <= 20  # two calls for each backoff of 0.15 s or more
     inconsistent.server.close()
 
 
@@ -284,11 +284,11 @@
 
 @real
 async def test_unexpected_errors_do_not_end_the_watch() -> None:
-    """The exchange fails with an error that nobody expected: the same update is requested again."""
+    """The exchange raises an unexpected error; the same update is requested again."""
     discovery = Party("discovery", Rig.list_of(None, index=7))
     await discovery.start()
     exchange = FailingExchange(errors=3)
-    settings = read_settings(flatten(SETTINGS | with_update_time(0.2)))
+    settings = read_settings(flatten(SETTINGS | with_update_deadline(0.2)))
     client = DiscoveryClient(("127.0.0.1", discovery.port), exchange, settings, 5)
     client.watch(True)
     while not exchange.lists_accepted:
@@ -300,10 +300,10 @@
 
 
 @real
-async def test_move_to_a_discovery_that_resets_then_stalls_then_has_an_older_revision() -> None:
-    """The old list stays valid meanwhile.
+async def test_switch_to_a_discovery_that_resets_then_stalls_then_has_an_older_revision() -> None:
+    """The old list stays valid until the new discovery service has sent its complete list.
 
-    The first complete list of the new discovery counts, whatever its revision.
+    That list is accepted regardless of its revision.
     """
 
     def reply(party: Party) -> bytes | None:
@@ -336,19 +336,19 @@
 
 @real
 @pytest.mark.parametrize(
-    ("is_moved", "longest_delays"),
+    ("is_switched", "longest_delays"),
     [
-        pytest.param(True, (0.3, 0.6, 1.2, 1.2, 1.2, 1.2), id="moved"),
+        pytest.param(True, (0.3, 0.6, 1.2, 1.2, 1.2, 1.2), id="switched"),
         pytest.param(False, (0.3, 0.3, 0.6, 1.2, 1.2, 1.2), id="watch reset"),
     ],
 )
-async def test_proxies_that_fail_together_do_not_call_discovery_together(
-    is_moved: bool, longest_delays: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
+async def test_proxies_that_lose_discovery_together_do_not_retry_together(
+    is_switched: bool, longest_delays: tuple[float, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The delays of forty proxies differ, double, and stay bounded.
+    """The retry delays of forty proxies differ from one another, double, and stay bounded.
 
-    They are moved to a discovery that fails each call, or lose their watches to one that fails each call from
-    then on.
+    The proxies either switch to a discovery service that fails each call, or lose their watches because
+    discovery fails each call from then on.
     """
     delays: dict[int, list[float]] = {}
     revisions_sent: set[bytes] = set()
@@ -356,13 +356,13 @@
     def reply(party: Party) -> bytes:
         since = party.got[-1][0].partition(b"since=")[2].partition(b"&")[0]
         if not since or since in revisions_sent:
-            return BARE_503 if is_moved else b""
+            return BARE_503 if is_switched else b""
         revisions_sent.add(since)
         return Rig.list_of(None, index=int(since))
 
     async def record_delay(seconds: float, sleep=asyncio.sleep) -> None:
         task_name = asyncio.current_task().get_name()
-        if task_name.isdigit():  # a client's watch, not the scripted discovery
+        if task_name.isdigit():  # the watch task of a client, not the scripted discovery
             client_delays = delays.setdefault(int(task_name), [])
             client_delays.append(seconds)
             if len(client_delays) >= BACKOFF_COUNT:
@@ -376,9 +376,9 @@
     address = ("127.0.0.1", failing.port)
     watch_tasks = []
     for seed in range(PROXY_COUNT):
-        first_address = ("127.0.0.1", 9) if is_moved else address
+        first_address = ("127.0.0.1", 9) if is_switched else address
         client = DiscoveryClient(first_address, RecordingExchange(), settings, seed, seed)
-        if is_moved:
+        if is_switched:
             client.move_to(address)
         else:
             client.watch(True)
@@ -386,12 +386,12 @@
         watch_tasks.append(client._watch_task)
     await asyncio.gather(*watch_tasks, return_exceptions=True)
 
-    assert len(revisions_sent) == (0 if is_moved else PROXY_COUNT)
+    assert len(revisions_sent) == (0 if is_switched else PROXY_COUNT)
     assert failing.opened == BACKOFF_COUNT * PROXY_COUNT  # one before each delay: no call connects twice
     for number, longest in enumerate(longest_delays):
         nth_delays = [delays[seed][number] for seed in range(PROXY_COUNT)]
         assert all(longest / 2 <= delay <= longest for delay in nth_delays)
-        assert len({round(20 * delay / longest) for delay in nth_delays}) > 5  # spread, not in waves
+        assert len({round(20 * delay / longest) for delay in nth_delays}) > 5  # spread out, not synchronized
     failing.server.close()
 
 
@@ -437,7 +437,7 @@
 
 
 @pytest.mark.parametrize("state", WatchState, ids=lambda state: state.value)
-def test_list_opens_the_watch_from_every_state(state: WatchState) -> None:
+def test_received_list_leads_to_watching_from_every_state(state: WatchState) -> None:
     assert TRANSITIONS[state, WatchEvent.LIST_RECEIVED] == Transition(WatchState.WATCHING)
 
 
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -23,7 +23,7 @@
 
 
 class RecordingExchange:
-    """Stands in for the exchange: allows every attempt, and records how each ended."""
+    """A fake exchange that allows every attempt and records its outcome."""
 
     def __init__(self) -> None:
         self.outcomes: asyncio.Queue[Outcome] = asyncio.Queue()
@@ -41,8 +41,8 @@
         self.outcomes.put_nowait((attempt.number, status, body))
 
 
-class PoolWithOneEndpoint:
-    """A pool whose clock only the test moves, and an endpoint that sends what the test says."""
+class PoolHarness:
+    """A pool with a manually advanced clock, and the listening socket of an endpoint run by the test."""
 
     def __init__(self, budget: DescriptorBudget | None = None) -> None:
         self.exchange = RecordingExchange()
@@ -55,7 +55,7 @@
         self.server.settimeout(LIMIT_S)
 
     def dispatch(self, endpoint: bytes = b"s1") -> int:
-        """Dispatch one attempt; its number."""
+        """Dispatch one attempt and return its number."""
         self.dispatched += 1
         number = self.dispatched
         host, port = self.server.getsockname()
@@ -79,113 +79,117 @@
 async def test_detects_input_after_the_last_response_before_reuse() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         reader, writer = await connect(*server.getsockname())
-        endpoint, _ = server.accept()
+        endpoint_socket, _ = server.accept()
         assert is_open_without_input(reader, writer)
-        endpoint.send(OK)
-        assert not is_open_without_input(reader, writer)  # in the kernel's buffer; the event loop has not read it yet
+        endpoint_socket.send(OK)
+        # The input is in the kernel's buffer; the event loop has not read it yet.
+        assert not is_open_without_input(reader, writer)
         while not reader.unread:
             await asyncio.sleep(0.005)
-        assert not is_open_without_input(reader, writer)  # in the stream reader's buffer
+        assert not is_open_without_input(reader, writer)  # now in the stream reader's buffer
         assert await reader.read(1000) == OK
         assert is_open_without_input(reader, writer)
-        endpoint.close()
+        endpoint_socket.close()
         assert not is_open_without_input(reader, writer)
         writer.close()
 
 
 @real
 @pytest.mark.parametrize(
-    ("paused_s", "status"),
+    ("elapsed_s", "status"),
     [(0.0, AttemptStatus.RESET), (0.001, AttemptStatus.OK)],
     ids=["sooner-than-any-response", "after-a-pause-of-this-process"],
 )
 async def test_response_present_right_after_the_write_is_unsolicited_unless_time_passed(
-    paused_s: float, status: AttemptStatus
+    elapsed_s: float, status: AttemptStatus
 ) -> None:
-    """What has arrived as soon as an attempt is written belongs to an earlier one, unless time passed."""
-    assert (paused_s >= MIN_RESPONSE_TIME_S) == (status == AttemptStatus.OK)
-    endpoint = PoolWithOneEndpoint()
-    endpoint.dispatch()
-    connection = await endpoint.accept()
+    """Input that is present immediately after the write belongs to an earlier attempt: RESET is reported.
+
+    If time passed during the write, it may be the attempt's own response and is accepted.
+    """
+    assert (elapsed_s >= MIN_RESPONSE_TIME_S) == (status == AttemptStatus.OK)
+    harness = PoolHarness()
+    harness.dispatch()
+    connection = await harness.accept()
     connection.sendall(response(b"1"))
-    assert await endpoint.next_outcome() == (1, AttemptStatus.OK, b"1")
-    write = endpoint.pool._write
+    assert await harness.next_outcome() == (1, AttemptStatus.OK, b"1")
+    original_write = harness.pool._write
 
     def write_and_receive_a_response(upstream: UpstreamConnection, attempt: Attempt) -> None:
-        write(upstream, attempt)
-        connection.sendall(response(b"2"))  # on the loopback interface it has arrived when this returns
-        endpoint.now_s += paused_s
+        original_write(upstream, attempt)
+        connection.sendall(response(b"2"))  # on the loopback interface, it has arrived when sendall returns
+        harness.now_s += elapsed_s
 
-    endpoint.now_s += 1.0  # long enough for the connection to be reused
-    endpoint.pool._write = write_and_receive_a_response
-    endpoint.dispatch()
-    assert (await endpoint.next_outcome())[:2] == (2, status)
+    harness.now_s += 1.0  # long enough for the connection to be reused
+    harness.pool._write = write_and_receive_a_response
+    harness.dispatch()
+    assert (await harness.next_outcome())[:2] == (2, status)
 
 
 @real
 async def test_duplicate_response_is_not_taken_for_the_response_of_the_next_attempt() -> None:
-    """The next attempt follows at once, and the duplicate some milliseconds later.
+    """An endpoint sends a response twice, and the duplicate arrives some milliseconds later.
 
-    Until it is known that responses differ, the connection is not reused and the attempt is written to
-    another one; from then on the duplicate is recognised.
+    Until enough distinct responses have been seen, the connection is not reused immediately, and the next
+    attempt is written to another one. After that, it is reused and the duplicate is recognised.
     """
-    endpoint = PoolWithOneEndpoint()
-    endpoint.dispatch()
-    first = await endpoint.accept()
+    harness = PoolHarness()
+    harness.dispatch()
+    first = await harness.accept()
     first.sendall(response(b"1"))
-    assert await endpoint.next_outcome() == (1, AttemptStatus.OK, b"1")
-    endpoint.dispatch()
-    second = await endpoint.accept()
-    first.sendall(response(b"1"))  # the duplicate, while no attempt is on its connection
+    assert await harness.next_outcome() == (1, AttemptStatus.OK, b"1")
+    harness.dispatch()
+    second = await harness.accept()
+    first.sendall(response(b"1"))  # the duplicate, while its connection carries no attempt
     second.sendall(response(b"2"))
-    assert await endpoint.next_outcome() == (2, AttemptStatus.OK, b"2")
-    while endpoint.dispatched < 2 + MIN_DISTINCT_RESPONSES:
-        endpoint.now_s += 1.0
-        body = b"%d" % endpoint.dispatch()
+    assert await harness.next_outcome() == (2, AttemptStatus.OK, b"2")
+    while harness.dispatched < 2 + MIN_DISTINCT_RESPONSES:
+        harness.now_s += 1.0
+        body = b"%d" % harness.dispatch()
         second.sendall(response(body))
-        assert await endpoint.next_outcome() == (endpoint.dispatched, AttemptStatus.OK, body)
-    endpoint.now_s += 0.001
-    endpoint.dispatch()
+        assert await harness.next_outcome() == (harness.dispatched, AttemptStatus.OK, body)
+    harness.now_s += 0.001
+    harness.dispatch()
     second.sendall(response(body))  # a duplicate of the previous response
-    assert await endpoint.next_outcome() == (endpoint.dispatched, AttemptStatus.RESET, None)
-    endpoint.dispatch()
-    (await endpoint.accept()).sendall(response(b"own"))
-    assert await endpoint.next_outcome() == (endpoint.dispatched, AttemptStatus.OK, b"own")
+    assert await harness.next_outcome() == (harness.dispatched, AttemptStatus.RESET, None)
+    harness.dispatch()
+    (await harness.accept()).sendall(response(b"own"))
+    assert await harness.next_outcome() == (harness.dispatched, AttemptStatus.OK, b"own")
 
 
 @real
 async def test_cancelled_attempt_closes_its_connection_and_is_not_reported() -> None:
-    endpoint = PoolWithOneEndpoint()
-    host, port = endpoint.server.getsockname()
+    harness = PoolHarness()
+    host, port = harness.server.getsockname()
     request = ForwardedRequest(b"GET", b"/look", [], b"")
     attempt = Attempt(1, 1, b"s1", host, port, request, 0.0, 1e9)
-    endpoint.pool.dispatch(attempt)
-    connection = await endpoint.accept()
+    harness.pool.dispatch(attempt)
+    connection = await harness.accept()
     while not attempt.written:
         await asyncio.sleep(0.005)
-    endpoint.pool.cancel(attempt)
+    harness.pool.cancel(attempt)
     assert attempt.transport_handle is None
     connection.settimeout(LIMIT_S)
     loop = asyncio.get_running_loop()
     assert b"GET /look" in await loop.run_in_executor(None, connection.recv, 4096)
     assert await loop.run_in_executor(None, connection.recv, 4096) == b""
-    assert endpoint.exchange.outcomes.empty()
+    assert harness.exchange.outcomes.empty()
 
 
 @real
 async def test_evicts_the_longest_idle_connection_when_descriptors_run_out() -> None:
-    """The smallest budget is 8 descriptors: the ninth connection takes the place of the oldest."""
-    endpoint = PoolWithOneEndpoint(DescriptorBudget(8))
+    """The smallest budget is 8 descriptors, so opening a ninth connection closes the longest idle one."""
+    harness = PoolHarness(DescriptorBudget(8))
     connections = []
     for number in range(1, 9):
-        endpoint.dispatch(b"s%d" % number)
-        connections.append(await endpoint.accept())
+        harness.dispatch(b"s%d" % number)
+        connections.append(await harness.accept())
         connections[-1].sendall(response(b"x"))
-        assert (await endpoint.next_outcome())[1] == AttemptStatus.OK
-        endpoint.now_s += 0.1
-    endpoint.dispatch(b"s9")
-    (await endpoint.accept()).sendall(response(b"x"))
-    assert (await endpoint.next_outcome())[1] == AttemptStatus.OK
+        assert (await harness.next_outcome())[1] == AttemptStatus.OK
+        harness.now_s += 0.1
+    harness.dispatch(b"s9")
+    (await harness.accept()).sendall(response(b"x"))
+    assert (await harness.next_outcome())[1] == AttemptStatus.OK
     for connection in connections:
         connection.setblocking(False)
         assert connection.recv(4096).startswith(b"GET /look")
