--- a/alderspool/program/app.py
+++ b/alderspool/program/app.py
@@ -128,7 +128,7 @@
     except ConfigError as error:
         logger.error("reload failed, the configuration in force stays: {}", error)
         return
-    discovery.move_to(new_config.discovery)
+    discovery.switch_address(new_config.discovery)
     logger.info(
         "{} uses discovery at {}:{} now",
         config.name,
--- a/alderspool/transport/discovery.py
+++ b/alderspool/transport/discovery.py
@@ -102,7 +102,7 @@
         self._stop()
         self.watch(True)
 
-    def move_to(self, address: Address) -> None:
+    def switch_address(self, address: Address) -> None:
         """Switch to the discovery service at another address; no effect if it is the current one.
 
         Revisions of the new service may be unrelated to those of the old one, so its complete list is
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -379,7 +379,7 @@
         first_address = ("127.0.0.1", 9) if is_switched else address
         client = DiscoveryClient(first_address, RecordingExchange(), settings, seed, seed)
         if is_switched:
-            client.move_to(address)
+            client.switch_address(address)
         else:
             client.watch(True)
         client._watch_task.set_name(str(seed))
