--- a/alderspool/transport/client_connection.py
+++ b/alderspool/transport/client_connection.py
@@ -30,7 +30,7 @@
 )
 from alderspool.transport.eviction import EvictionClass
 from alderspool.transport.lingering_close import LingeringCloseStep
-from alderspool.transport.streams import CountingReader, is_quiet, peer_has_closed
+from alderspool.transport.streams import CountingReader, is_open_without_input, peer_has_closed
 
 # Keyed by the state and whether a response has been sent. A connection in a state without an entry must not
 # be evicted: it has a pending request, or is closed.
@@ -135,9 +135,9 @@
         """
         return peer_has_closed(self.writer)
 
-    def is_quiet(self) -> bool:
+    def is_open_without_input(self) -> bool:
         """Return whether the connection is open and has no unread input."""
-        return is_quiet(self.reader, self.writer)
+        return is_open_without_input(self.reader, self.writer)
 
     # ---- requests and responses ------------------------------------------------------------------
 
@@ -184,7 +184,7 @@
         self.response_sent.set()
 
     def _has_further_input(self) -> bool:
-        return self.codec.has_further_input or not self.is_quiet()
+        return self.codec.has_further_input or not self.is_open_without_input()
 
     def send_continue(self) -> None:
         """Send 100 Continue, so that the client sends the request body."""
@@ -220,7 +220,7 @@
 
     def close_if_idle(self) -> bool:
         """If the connection is idle without unread input, begin a lingering close and return True."""
-        if not self.is_idle or not self.is_quiet():
+        if not self.is_idle or not self.is_open_without_input():
             return False
         self.begin_lingering_close()
         return True
@@ -234,7 +234,7 @@
         """
         if self.codec.has_complete_request:
             return False
-        if not self._timeout_deferred and self.awaits_request and not self.is_quiet():
+        if not self._timeout_deferred and self.awaits_request and not self.is_open_without_input():
             self._timeout_deferred = True
             return False
         invalid = self.codec.time_out() if self.awaits_request else None
