--- a/alderspool/balancer/admission_queue.py
+++ b/alderspool/balancer/admission_queue.py
@@ -10,7 +10,7 @@
 from alderspool.balancer.events import Request
 from alderspool.balancer.latency import MIX_MEMORY_MS
 from alderspool.balancer.latency_estimates import LatencyEstimates
-from alderspool.balancer.moving_averages import FadingSums
+from alderspool.balancer.moving_averages import DecayingSums
 from alderspool.balancer.request_state import KeyQueue, KeyQueues, PriorityQueue, QueueRank, RequestState
 from alderspool.balancer.settings import Settings
 
@@ -40,7 +40,7 @@
         self.key_queues = KeyQueues()
         self.is_timer_set = False
         self.alike_share = [1.0] * len(settings.classes)  # of calm requests that have about as much time left
-        self.tenant_rps = FadingSums(len(settings.tenants))
+        self.tenant_rps = DecayingSums(len(settings.tenants))
         self.last_given_up_at = -inf
         self._longest_time_left_ms = [0.0] * len(settings.classes)
         self._settings = settings
--- a/alderspool/balancer/concurrency_limit.py
+++ b/alderspool/balancer/concurrency_limit.py
@@ -108,7 +108,7 @@
         most = LATE_ONLY_MAX_LOADS * low_load if self.counts_late_only else MAX_LIMIT
         is_quiescing = now < self.quiesce_until
         self.per_endpoint = low_load if is_quiescing else min(max(self.per_endpoint, low_load), most)
-        self.work.fade(exp(-elapsed_ms / LATENCY_MEMORY_MS))
+        self.work.decay(exp(-elapsed_ms / LATENCY_MEMORY_MS))
         return begins
 
     def apply(self, endpoints: Endpoints, now: float, mean_size: float) -> None:
--- a/alderspool/balancer/endpoint.py
+++ b/alderspool/balancer/endpoint.py
@@ -169,7 +169,7 @@
         self.silent_since = now
         return passed
 
-    def fade_figures(self, factor: float, now: float, typical_ms: list[float]) -> None:
+    def decay_statistics(self, factor: float, now: float, typical_ms: list[float]) -> None:
         """Fade the moving sums, and add up the time in flight with that of the open attempts."""
         self.served_by_class = [served * factor for served in self.served_by_class]
         self.busy_ms_by_class = [busy * factor for busy in self.busy_ms_by_class]
--- a/alderspool/balancer/latency_estimates.py
+++ b/alderspool/balancer/latency_estimates.py
@@ -57,9 +57,9 @@
 
     def refresh(self, now: float, elapsed_ms: float) -> None:
         """Rebuild the figures that requests read."""
-        fade = exp(-elapsed_ms / latency.MIX_MEMORY_MS)
-        self.mix.refresh(fade)
-        self.typical.refresh(fade)
+        decay = exp(-elapsed_ms / latency.MIX_MEMORY_MS)
+        self.mix.refresh(decay)
+        self.typical.refresh(decay)
         mean = sum(share * ms for share, ms in zip(self.mix.shares, self.typical_ms, strict=True))
         self.mean_typical_ms = max(mean, 1e-3)
         self.arrivals.refresh(now - self.started_at + elapsed_ms, elapsed_ms)
@@ -82,6 +82,6 @@
             size += endpoint.size
         if size:
             self.mean_size = size / len(endpoints)
-            known_ms = min(latency.FIGURE_MEMORY_MS, now - self._estimates.started_at + elapsed_ms)
-            work_rate = served_work / (self._estimates.mean_typical_ms * known_ms) / size
+            observed_ms = min(latency.FIGURE_MEMORY_MS, now - self._estimates.started_at + elapsed_ms)
+            work_rate = served_work / (self._estimates.mean_typical_ms * observed_ms) / size
             self.per_size += (work_rate - self.per_size) * self._estimates.arrivals.gain
--- a/alderspool/balancer/moving_averages.py
+++ b/alderspool/balancer/moving_averages.py
@@ -12,11 +12,11 @@
         self.counts = initial_counts
         self.shares: list[float] = []
 
-    def refresh(self, fade: float) -> None:
-        """Take the shares, then fade the counts."""
+    def refresh(self, decay: float) -> None:
+        """Take the shares, then decay the counts."""
         total = sum(self.counts)
         self.shares = [count / total for count in self.counts]
-        self.counts[:] = [count * fade for count in self.counts]
+        self.counts[:] = [count * decay for count in self.counts]
 
 
 class MeansByClass:
@@ -34,23 +34,23 @@
         self._sums[index] += value
         self._counts[index] += 1.0
 
-    def refresh(self, fade: float) -> None:
+    def refresh(self, decay: float) -> None:
         """Fade the samples and rebuild the means."""
-        self._sums[:] = [total * fade for total in self._sums]
-        self._counts[:] = [count * fade for count in self._counts]
+        self._sums[:] = [total * decay for total in self._sums]
+        self._counts[:] = [count * decay for count in self._counts]
         for index, count in enumerate(self._counts):
             if count > self._min_count:
                 prior_sum = self._prior_count * self.means[index]
                 self.means[index] = (self._sums[index] + prior_sum) / (count + self._prior_count)
 
 
-class FadingSums:
-    """Sums by index that fade."""
+class DecayingSums:
+    """Sums by index that decay."""
 
     def __init__(self, count: int) -> None:
         self.values = [0.0] * count
 
-    def fade(self, factor: float) -> None:
+    def decay(self, factor: float) -> None:
         """Multiply all by the factor."""
         self.values[:] = [value * factor for value in self.values]
 
@@ -63,7 +63,7 @@
     slow: float = 0.0
     late: float = 0.0
 
-    def fade(self, factor: float) -> None:
+    def decay(self, factor: float) -> None:
         """Multiply all by the factor."""
         self.ended *= factor
         self.slow *= factor
@@ -79,8 +79,8 @@
         self.gain = 1.0  # of the moving average at the last refresh
         self._memory_ms = memory_ms
 
-    def refresh(self, known_ms: float, elapsed_ms: float) -> None:
+    def refresh(self, observed_ms: float, elapsed_ms: float) -> None:
         """Take in what has arrived in the time that has passed."""
-        self.gain = min(1.0, elapsed_ms / max(min(known_ms, self._memory_ms), 1.0))
+        self.gain = min(1.0, elapsed_ms / max(min(observed_ms, self._memory_ms), 1.0))
         self.rate += (self.since_refresh / elapsed_ms - self.rate) * self.gain
         self.since_refresh = 0.0
--- a/alderspool/balancer/refresh.py
+++ b/alderspool/balancer/refresh.py
@@ -54,7 +54,7 @@
         elapsed_ms = min(max(now - self.last_at, MIN_ELAPSED_MS), MAX_ELAPSED_MS)
         self.last_at = now
         policies.connections.refresh(elapsed_ms)
-        policies.queue.tenant_rps.fade(exp(-elapsed_ms / MIX_MEMORY_MS))
+        policies.queue.tenant_rps.decay(exp(-elapsed_ms / MIX_MEMORY_MS))
         policies.latency.refresh(now, elapsed_ms)
         if not subset.selected:
             return False
--- a/alderspool/balancer/rotation.py
+++ b/alderspool/balancer/rotation.py
@@ -45,12 +45,12 @@
 
     def learn_speeds(self, now: float, elapsed_ms: float) -> None:
         """Rebuild the overall speeds; open attempts count, so that one that swallows work sinks soon."""
-        fade = exp(-elapsed_ms / FIGURE_MEMORY_MS)
+        decay = exp(-elapsed_ms / FIGURE_MEMORY_MS)
         typical_ms = self.latency.typical_ms
         prior_ms = SEED_PRIOR * self.latency.mean_typical_ms
         mean_size = self.subset.endpoint_list.mean_size
         for endpoint in self.subset.selected:
-            endpoint.fade_figures(fade, now, typical_ms)
+            endpoint.decay_statistics(decay, now, typical_ms)
             work = endpoint.served_work + prior_ms * endpoint.size / mean_size
             endpoint.speed = work / (sum(endpoint.in_flight_ms_by_class) + prior_ms)
 
--- a/alderspool/balancer/subset.py
+++ b/alderspool/balancer/subset.py
@@ -63,7 +63,7 @@
         planned_rate = quota_rps / 1000.0 / self.settings.instance_count  # a mean instance's, per ms
         if planned_rate <= 0.0:
             return self._base_size()
-        known_ms = min(now - self.latency.started_at, MIX_MEMORY_MS)
-        arrived = self.latency.arrivals.rate * known_ms + MIX_PRIOR_REQUESTS
-        planned = planned_rate * known_ms + MIX_PRIOR_REQUESTS
+        observed_ms = min(now - self.latency.started_at, MIX_MEMORY_MS)
+        arrived = self.latency.arrivals.rate * observed_ms + MIX_PRIOR_REQUESTS
+        planned = planned_rate * observed_ms + MIX_PRIOR_REQUESTS
         return self._base_size() * max(arrived / planned, 1.0)
--- a/tests/test_balancer_containers.py
+++ b/tests/test_balancer_containers.py
@@ -13,7 +13,7 @@
     encode_messages,
     is_well_formed,
 )
-from alderspool.balancer.moving_averages import ArrivalRate, ClassMix, FadingSums, MeansByClass, WorkSums
+from alderspool.balancer.moving_averages import ArrivalRate, ClassMix, DecayingSums, MeansByClass, WorkSums
 from alderspool.balancer.timers import KIND_BITS, KIND_MASK, TimerKind, timer_token
 
 
@@ -51,7 +51,7 @@
 
 def test_class_mix_takes_shares_before_it_fades() -> None:
     mix = ClassMix([1.0, 3.0])
-    mix.refresh(fade=0.5)
+    mix.refresh(decay=0.5)
     assert mix.shares == [0.25, 0.75]
     assert mix.counts == [0.5, 1.5]
 
@@ -59,26 +59,26 @@
 def test_mean_leans_on_its_former_value_and_stays_without_samples() -> None:
     means = MeansByClass([10.0, 10.0], prior_count=3.0, min_count=0.5)
     means.record(0, 50.0)
-    means.refresh(fade=1.0)
+    means.refresh(decay=1.0)
     assert means.means == [20.0, 10.0]
 
 
 def test_arrival_rate_averages_over_the_time_known() -> None:
     arrivals = ArrivalRate(memory_ms=1000.0)
     arrivals.since_refresh = 20.0
-    arrivals.refresh(known_ms=100.0, elapsed_ms=100.0)
+    arrivals.refresh(observed_ms=100.0, elapsed_ms=100.0)
     assert arrivals.rate == 0.2
-    arrivals.refresh(known_ms=200.0, elapsed_ms=100.0)
+    arrivals.refresh(observed_ms=200.0, elapsed_ms=100.0)
     assert arrivals.rate == pytest.approx(0.1)
     assert arrivals.since_refresh == 0.0
 
 
 def test_sums_fade() -> None:
-    sums = FadingSums(2)
+    sums = DecayingSums(2)
     sums.values[1] = 4.0
-    sums.fade(0.5)
+    sums.decay(0.5)
     work = WorkSums(4.0, 2.0, 1.0)
-    work.fade(0.5)
+    work.decay(0.5)
     assert sums.values == [0.0, 2.0]
     assert work == WorkSums(2.0, 1.0, 0.5)
 
