--- a/alderspool/balancer/actions.py
+++ b/alderspool/balancer/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a balancer wants done. Times are milliseconds."""
+"""Actions: what a balancer asks its caller to do. Times are milliseconds."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
     id: int
     endpoint: EndpointId
-    timeout_ms: float = 0.0  # 0: until the request's deadline
+    timeout_ms: float = 0.0  # 0: the attempt may last until the request's deadline
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: trying again is harmless."""
+    """Final response to the client: rejected, and safe to retry."""
 
     id: int
-    retry_after_ms: float = 0.0  # 0: no advice
+    retry_after_ms: float = 0.0  # value for Retry-After; 0: none
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final response: failed, and it may have run."""
+    """Final response to the client: failed, and the request may have been executed."""
 
     id: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Give up an attempt that is out."""
+    """Cancel an open attempt."""
 
     id: int
     attempt: int
@@ -41,14 +41,14 @@
 
 @dataclass(slots=True)
 class CheckHealth:
-    """Send a health check."""
+    """Send a health check to an endpoint."""
 
     endpoint: EndpointId
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Deliver a TimerFired event with this token after the delay."""
+    """Deliver a TimerFired event with `token` after the delay."""
 
     token: int
     delay_ms: float
@@ -56,14 +56,14 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Open the watch on the endpoint list, or end it."""
+    """Start watching the endpoint list for updates, or stop."""
 
     on: bool = True
 
 
 @dataclass(slots=True)
 class FetchList:
-    """Ask for the whole endpoint list once."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(slots=True)
@@ -75,10 +75,10 @@
 
 @dataclass(slots=True)
 class SendToPeer:
-    """Send bytes to another instance."""
+    """Send a message to another proxy instance."""
 
     data: bytes
-    peer: int | None = None  # None: every other instance
+    peer: int | None = None  # instance number; None: every other instance
 
 
 @dataclass(slots=True)
--- a/alderspool/balancer/balancer.py
+++ b/alderspool/balancer/balancer.py
@@ -1,6 +1,7 @@
-"""The balancer: takes events, hands each to the policy it is for, and returns the actions.
+"""The balancer: routes each event to the policy that handles it and returns the resulting actions.
 
-`rotation` is the ordinary path, to be read first; `request_dispatch` follows a request through all modules.
+Read `rotation` first: it picks the endpoint for an ordinary request. `request_dispatch` then shows how a
+request passes through all the modules.
 """
 
 from __future__ import annotations
@@ -33,7 +34,10 @@
 
 
 class Balancer:
-    """All decisions of one instance. Times are milliseconds of a clock that never runs backwards."""
+    """Makes all load-balancing decisions of one proxy instance.
+
+    Times are milliseconds of a monotonic clock that the caller provides.
+    """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
@@ -54,7 +58,7 @@
         }
 
     def start(self, now: float) -> list[Action]:
-        """Return the first actions. Call it once, before the first event."""
+        """Return the initial actions. Call it once, before the first event."""
         self.policies.latency.started_at = now
         actions: list[Action] = []
         if self.settings.list_on_request:
@@ -65,7 +69,7 @@
         return actions
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and return what is to be done, in order."""
+        """Process one event and return the actions to carry out, in order."""
         requests = self.requests
         requests.now = now
         requests.actions = []
@@ -75,13 +79,13 @@
         return requests.actions
 
     def may_begin(self, now: float, request_id: int) -> bool:
-        """Whether the last attempt of a request may go out now; asked when it has its connection."""
+        """Return whether a request's latest attempt may still be sent; asked once it has a connection."""
         request = self.requests.pending.get(request_id)
         return request is not None and self.policies.retry_rules.may_begin(request, now)
 
     def _refresh(self) -> None:
         if self.refresh.run(self.requests.now):
-            self.requests.log("quiesce: much is slow with hardly any load; all endpoints but one get nothing")
+            self.requests.log("quiesce: much work is slow at low load; all endpoints but one get no requests")
 
     def _on_list_update(self, event: EndpointListUpdate) -> None:
         now = self.requests.now
@@ -94,14 +98,15 @@
         self._failed_polls = 0
         self.policies.endpoint_list.apply(event, now, REMOVED_KEPT_MS)
         self.refresh.reselect(now)
-        self._refresh()  # at once: queued requests must not burst onto an endpoint that is listed as cold
+        # Refresh first, or the queued requests would burst onto an endpoint that is listed as cold.
+        self._refresh()
         self.requests.dispatch_queued()
 
     def _on_timer(self, event: TimerFired) -> None:
         kind = event.token & KIND_MASK
         request_id = event.token >> KIND_BITS
         if kind == TimerKind.HEDGE:
-            self.requests.hedge(request_id)
+            self.requests.send_hedge(request_id)
         elif kind == TimerKind.KEY_TURN:
             request = self.requests.pending.get(request_id)
             if request is not None:
@@ -123,10 +128,13 @@
             self.requests.dispatch_queued()
 
     def _on_client_disconnected(self, event: ClientDisconnected) -> None:
-        self.requests.disconnect_client(event.id)
+        self.requests.handle_client_disconnected(event.id)
 
     def _on_response_started(self, event: ResponseStarted) -> None:
-        self.requests.start_response(event.id)
+        self.requests.handle_response_started(event.id)
 
     def _on_health_checked(self, event: HealthChecked) -> None:
-        """Ignore it: no health checks are sent, as the time in flight tells as much at no cost."""
+        """Ignore the result.
+
+        This balancer sends no health checks: the time that attempts spend in flight tells as much at no cost.
+        """
--- a/alderspool/balancer/containers.py
+++ b/alderspool/balancer/containers.py
@@ -1,4 +1,4 @@
-"""General containers. They choose nothing: every threshold is given by the policy that uses them."""
+"""General-purpose containers and ordering helpers, free of policy."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class SlidingWindowCount:
-    """Counts events of the recent past. Times never run backwards."""
+    """Counts the events in a sliding time window. Times must not decrease."""
 
     __slots__ = ("_times",)
 
@@ -17,11 +17,11 @@
         self._times: deque[float] = deque()
 
     def add(self, now: float) -> None:
-        """Count an event."""
+        """Record an event."""
         self._times.append(now)
 
     def count_since(self, start: float) -> int:
-        """Return how many events were at or after `start`, and forget the earlier ones."""
+        """Return the number of events at or after `start`, and discard the earlier ones."""
         times = self._times
         while times and times[0] < start:
             times.popleft()
@@ -29,15 +29,15 @@
 
 
 def interleave_in_proportion(groups: list[list[Item]]) -> list[Item]:
-    """Merge the groups so that each part of the result holds of each group in proportion to its size."""
-    places = [
-        ((rank + 0.5) / len(group), number, rank)
-        for number, group in enumerate(groups)
-        for rank in range(len(group))
+    """Merge the groups so that the items of each group are spread evenly over the whole result."""
+    positions = [
+        ((index + 0.5) / len(group), group_index, index)
+        for group_index, group in enumerate(groups)
+        for index in range(len(group))
     ]
-    return [groups[number][rank] for _, number, rank in sorted(places)]
+    return [groups[group_index][index] for _, group_index, index in sorted(positions)]
 
 
 def bit_reversed(number: int, bits: int) -> int:
-    """Return the number with its binary digits in reverse order: neighbours come to lie far apart."""
+    """Return the number with its `bits` binary digits reversed, which moves neighbours far apart."""
     return int(f"{number:0{bits}b}"[::-1], 2)
--- a/alderspool/balancer/endpoint_list.py
+++ b/alderspool/balancer/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list as updates leave it. It chooses nothing: how long removed endpoints are kept is given."""
+"""The endpoint list, kept current by updates. The caller decides how long removed endpoints are kept."""
 
 from __future__ import annotations
 
@@ -10,28 +10,32 @@
 from alderspool.balancer.events import Availability, EndpointEntry, EndpointId, EndpointListUpdate, UpdateMode
 from alderspool.balancer.settings import Settings
 
-RANK_BITS = 16  # of a place among the endpoints of a zone
-START_TIME_ROUNDING_MS = 1.0  # start times are listed with this precision
+RANK_BITS = 16  # width of an endpoint's position within its zone
+START_TIME_ROUNDING_MS = 1.0  # precision of the start times in the list
 
 
 class EndpointList:
-    """All endpoints that the list names, and those removed lately."""
+    """The endpoints in the list, and those removed recently."""
 
     def __init__(self, settings: Settings, random: Random, class_count: int) -> None:
         self.endpoints_by_id: dict[EndpointId, EndpointState] = {}
-        self.mean_size = 1.0  # of the endpoints in use; set by the refresh of the subset
+        self.mean_size = 1.0  # mean `size` of the endpoints in use, set by each refresh
         self._settings = settings
         self._random = random
         self._class_count = class_count
 
     def apply(self, update: EndpointListUpdate, now: float, removed_kept_ms: float) -> None:
-        """Take over an update; drop the endpoints that were removed longer ago than is given."""
+        """Apply an update, and drop endpoints that were removed more than `removed_kept_ms` ago.
+
+        An endpoint with open attempts is kept however long ago it was removed.
+        """
         listed = {entry.id for entry in update.entries}
         for endpoint in self.endpoints_by_id.values():
             if endpoint.is_ready:
                 endpoint.last_ready_at = now
+            # An endpoint that is missing from a complete list has been removed.
             if update.mode != UpdateMode.DELTA and endpoint.id not in listed:
-                endpoint.is_ready = False  # missing from a complete list: removed
+                endpoint.is_ready = False
         for entry in update.entries:
             self._apply_entry(entry)
         oldest = now - removed_kept_ms
@@ -42,15 +46,16 @@
         }
 
     def ready_ring(self) -> list[EndpointState]:
-        """Return the ready endpoints in an order on which all instances agree, zones in proportion.
+        """Return the ready endpoints in an order that is the same on all instances.
 
-        With half a subset from each zone, or gaps where endpoints were removed, the few of a small zone and
-        those behind a gap would bear a multiple of the others' load.
+        The zones are interleaved in proportion to their numbers of ready endpoints. If a subset took half of
+        its endpoints from each zone, those of a small zone would get a multiple of the others' load; so would
+        those that follow a gap if removed endpoints left gaps in the order.
         """
         zones: dict[int, list[EndpointState]] = {}
         for endpoint in sorted(self.endpoints_by_id.values(), key=endpoint_id):
             zone = zones.setdefault(endpoint.zone, [])
-            # Neighbours are far apart in the rotation: each subset has its part of the first ranks.
+            # Bit reversal gives neighbours in the ring distant ranks, so each subset has its share of the low ones.
             endpoint.rotation_rank = bit_reversed(len(zone), RANK_BITS)
             zone.append(endpoint)
         ready = [[endpoint for endpoint in zones[zone] if endpoint.is_ready] for zone in sorted(zones)]
@@ -70,14 +75,15 @@
             endpoint.reset_learned()
             endpoint.started_at = max(entry.started_at_ms, endpoint.started_at)
             endpoint.cold_tokens = self._random.random()
-        endpoint.is_ready = is_ready  # draining or removed: nothing new from this moment on
+        endpoint.is_ready = is_ready  # a draining or removed endpoint gets no new attempts from now on
         self._apply_size(endpoint, entry.weight)
         endpoint.cell = entry.cell
         endpoint.zone = entry.zone
 
     def _apply_size(self, endpoint: EndpointState, weight: float) -> None:
         if self._settings.weights_listed and 0.0 < weight < inf:
-            # A live weight sinks under load, so an empty cold endpoint would look the biggest: keep the most.
+            # A live weight falls under load, which would make an idle cold endpoint look the largest. The
+            # highest weight seen shows the capacity.
             endpoint.size = max(weight, endpoint.size if self._settings.weights_live else 0.0)
         elif endpoint.size <= 0.0:
             endpoint.size = self.mean_size
--- a/alderspool/balancer/refresh.py
+++ b/alderspool/balancer/refresh.py
@@ -1,4 +1,7 @@
-"""The refresh: rebuilds what the policies learned, in a fixed order. Requests only read it."""
+"""The periodic refresh: recomputes weights, limits and estimates in a fixed order.
+
+Between two refreshes, dispatching a request only reads them.
+"""
 
 from __future__ import annotations
 
@@ -26,14 +29,14 @@
         self._policies = policies
 
     def is_due(self, now: float) -> bool:
-        """Whether enough time and traffic have passed since the last one."""
+        """Return whether enough time and traffic have passed since the last refresh."""
         age_ms = now - self.last_at
         if age_ms < REFRESH_INTERVAL_MS:
             return False
         return is_refresh_due(age_ms, self._policies.latency.arrivals.since_refresh)
 
     def reselect(self, now: float) -> None:
-        """Select the subset anew, with all that depends on how many instances share it."""
+        """Reselect the subset and update the policies that depend on its size or its sharing instances."""
         policies = self._policies
         subset = policies.subset
         is_first = not subset.ready_count
@@ -44,7 +47,7 @@
         policies.limit.set_sharing(subset.sharing_instances, policies.load_reports.is_sending, is_first)
 
     def run(self, now: float) -> bool:
-        """Rebuild everything; return whether a quiesce begins."""
+        """Run the refresh; return whether a quiesce begins."""
         policies = self._policies
         subset = policies.subset
         outlier_count = sum(1 for endpoint in subset.selected if is_outlier(endpoint))
@@ -63,7 +66,7 @@
         begins_quiesce = self._rebuild_limits(now, elapsed_ms)
         policies.queue.key_queues.drop_idle(now)
         if self._settings.peer_messages_allowed:
-            policies.load_reports.peers.forget_silent(now, PEER_SILENCE_MS)
+            policies.load_reports.peers.expire_silent_peers(now, PEER_SILENCE_MS)
         return begins_quiesce
 
     def _rebuild_weights(self, now: float, elapsed_ms: float) -> None:
--- a/alderspool/balancer/request_dispatch.py
+++ b/alderspool/balancer/request_dispatch.py
@@ -1,6 +1,7 @@
-"""Request dispatch: the way of each request from its arrival through its attempts to its final response.
+"""Request dispatch: takes each request from arrival through its attempts to its final response.
 
-It carries out what the policies decide, and keeps their books. All thresholds and choices are theirs.
+The dispatcher carries out what the policies decide and reports requests and outcomes to them. All thresholds
+and choices belong to the policies.
 """
 
 from __future__ import annotations
@@ -23,7 +24,10 @@
 
 
 class RequestDispatcher:
-    """Owns the pending requests. The caller sets `now` and takes the `actions` for each event."""
+    """Owns the pending requests.
+
+    For each event the caller sets `now`, resets `actions`, and afterwards reads the actions from there.
+    """
 
     def __init__(self, settings: Settings, policies: Policies) -> None:
         self.now = 0.0
@@ -36,7 +40,7 @@
         self._log_lines_left = MAX_LOG_LINES
 
     def accept(self, event: Request) -> None:
-        """Dispatch, queue or reject a request that has come in."""
+        """Dispatch, queue, reject or fail a new request."""
         policies = self.policies
         if event.cls >= len(self._settings.classes):
             event.cls = 0
@@ -44,10 +48,10 @@
         policies.retry_budget.deposit(self.now)
         request = self._queue.new_request(event, traffic_class, self.now)
         self.pending[event.id] = request
-        if self._give_up_expired(request):
+        if self._give_up_if_expired(request):
             return
         if not (event.key and self._settings.classes[event.cls].ordered_by_key):
-            self._place(request)
+            self._dispatch_or_queue(request)
         elif self._queue.join_key_queue(request, event.key, self.now):
             self.check_key_turn(request)
         else:
@@ -56,91 +60,96 @@
             self.dispatch_queued()
 
     def finish_attempt(self, event: Outcome) -> None:
-        """Learn from an outcome, and finish, retry or give up its request."""
+        """Record an outcome in the statistics, and finish, retry or give up its request."""
         request = self._end_attempt(event)
         if request is not None:
-            self._settle(request, event)
+            self._finish_or_retry(request, event)
         if self._queue.waiting.entries:
             self.dispatch_queued()
 
-    def hedge(self, request_id: int) -> None:
-        """Send a hedge, if the request still has its one attempt open and may have another."""
+    def send_hedge(self, request_id: int) -> None:
+        """Send a hedge if the request has exactly one open attempt and may have another."""
         request = self.pending.get(request_id)
         if request is None or request.open_attempts != 1:
             return
         typical_ms = self.policies.latency.typical_ms[request.traffic_class]
         can_help = hedging.can_meet_objective(request, self.now, typical_ms)
         if can_help and self.policies.retry_rules.may_attempt(request, self.now):
-            endpoint = self._pick(request)
+            endpoint = self._pick_endpoint(request)
             if endpoint is not None:
-                self._send(request, endpoint)
+                self._send_attempt(request, endpoint)
 
-    def disconnect_client(self, request_id: int) -> None:
-        """End a request to which no response is wanted any longer."""
+    def handle_client_disconnected(self, request_id: int) -> None:
+        """Finish a request whose client no longer waits for a response."""
         if request_id in self.pending:
             self._finish(self.pending[request_id])
 
-    def start_response(self, request_id: int) -> None:
-        """Lift the deadline of a request whose response is being streamed."""
+    def handle_response_started(self, request_id: int) -> None:
+        """Remove the deadline of a request whose response is being streamed."""
         if request_id in self.pending:
             self.pending[request_id].deadline = inf
 
     def check_key_turn(self, request: RequestState) -> None:
-        """Dispatch the first request of a key once the key has quiesced; else set a timer to check again."""
+        """Dispatch a request if it is first in its key queue and the key has quiesced; else set a timer."""
         if request.key_queue is None or request.is_finished or not request.awaits_key_turn:
             return
-        if self._give_up_expired(request):
+        if self._give_up_if_expired(request):
             return
         delay_ms = self._queue.key_turn_delay_ms(request, request.key_queue, self.now)
         if delay_ms is None:
             request.awaits_key_turn = False
-            self._place(request)
+            self._dispatch_or_queue(request)
         else:
             self.actions.append(SetTimer(timer_token(TimerKind.KEY_TURN, request.id), delay_ms))
 
     def check_queue(self) -> None:
-        """Look at all queued requests, as none may outstay its deadline."""
+        """Check all queued requests, as none may stay queued beyond its deadline."""
         self._queue.is_timer_set = False
         self.dispatch_queued(is_sweep=True)
         self._set_queue_timer()
 
     def dispatch_queued(self, is_sweep: bool = False) -> None:
-        """Send queued requests while there is capacity; a sweep looks at all of them."""
+        """Send queued requests while there is capacity.
+
+        Stops after CANDIDATES_PER_DISPATCH requests that no endpoint can take; a sweep checks all the others
+        for expiry as well.
+        """
         now = self.now
         entries = self._queue.waiting.entries
         without_endpoint: list[QueueEntry] = []
         while entries and (is_sweep or len(without_endpoint) < CANDIDATES_PER_DISPATCH):
             entry = heappop(entries)
             request = entry.request
-            # Compared here as well: a sweep may pass thousands of requests with nothing to be done.
+            # `_give_up_if_expired` compares the times too; doing it here saves a sweep thousands of calls.
             may_be_expired = now > request.queue_until or now >= request.respond_by
-            if request.is_finished or (may_be_expired and self._give_up_expired(request)):
+            if request.is_finished or (may_be_expired and self._give_up_if_expired(request)):
                 continue
             if request.rank != entry.rank:
                 self._enqueue(request)
                 continue
-            endpoint = self._pick(request) if len(without_endpoint) < CANDIDATES_PER_DISPATCH else None
+            endpoint = (
+                self._pick_endpoint(request) if len(without_endpoint) < CANDIDATES_PER_DISPATCH else None
+            )
             if endpoint is None:
                 without_endpoint.append(entry)
             else:
-                self._send(request, endpoint)
+                self._send_attempt(request, endpoint)
         for entry in without_endpoint:
             heappush(entries, entry)
 
     def log(self, text: str) -> None:
-        """Write a log line, if there are some left."""
+        """Write a line to the log, unless the limit of MAX_LOG_LINES is reached."""
         if self._log_lines_left > 0:
             self._log_lines_left -= 1
             self.actions.append(Log(text))
 
-    def _place(self, request: RequestState) -> None:
-        endpoint = (
-            None if self._queue.waiting.entries else self._pick(request)
-        )  # those queued before come first
+    def _dispatch_or_queue(self, request: RequestState) -> None:
+        # Requests that are already queued go first.
+        endpoint = None if self._queue.waiting.entries else self._pick_endpoint(request)
         if endpoint is None:
             self._enqueue(request)
         else:
-            self._send(request, endpoint)
+            self._send_attempt(request, endpoint)
 
     def _enqueue(self, request: RequestState) -> None:
         self._queue.push(request)
@@ -151,7 +160,7 @@
             self._queue.is_timer_set = True
             self.actions.append(SetTimer(timer_token(TimerKind.QUEUE), CHECK_INTERVAL_MS))
 
-    def _pick(self, request: RequestState) -> EndpointState | None:
+    def _pick_endpoint(self, request: RequestState) -> EndpointState | None:
         policies = self.policies
         if request.attempts and not policies.retry_budget.can_withdraw(self.now):
             return None
@@ -160,11 +169,12 @@
             return None
         return policies.rotation.pick(request, self.now, limit.total_in_flight)
 
-    def _send(self, request: RequestState, endpoint: EndpointState) -> None:
+    def _send_attempt(self, request: RequestState, endpoint: EndpointState) -> None:
         policies = self.policies
         now = self.now
         traffic_class = request.traffic_class
-        if not (request.may_have_run or request.open_attempts):  # from now on it may be running here
+        # From this attempt on the request may run, so its time and place decide where retries may go.
+        if not (request.may_have_run or request.open_attempts):
             request.first_run_at = now
             request.first_run_zone = endpoint.zone
             request.first_run_cell = endpoint.cell
@@ -174,8 +184,10 @@
         if idle_ms > 0.0 and policies.connections.is_stale(idle_ms):
             self.actions.append(CloseIdle(endpoint.id))
             idle_ms = 0.0
-        number = endpoint.begin_attempt(now, traffic_class, policies.rotation.stall_timeout_ms(request))
-        request.begin_attempt(Attempt(endpoint, now, idle_ms, number))
+        sequence_number = endpoint.begin_attempt(
+            now, traffic_class, policies.rotation.stall_timeout_ms(request)
+        )
+        request.begin_attempt(Attempt(endpoint, now, idle_ms, sequence_number))
         policies.limit.total_in_flight += 1
         typical_ms = policies.latency.typical_ms[traffic_class]
         if endpoint.cold_rate < inf:
@@ -188,7 +200,7 @@
             self.actions.append(SetTimer(token, hedging.hedge_delay_ms(typical_ms)))
 
     def _end_attempt(self, event: Outcome) -> RequestState | None:
-        """Take an outcome into all figures; return its request, None if the attempt is not open."""
+        """Record an outcome in all statistics; return its request, or None if the attempt is not open."""
         request = self.pending.get(event.id)
         attempt = None if request is None else request.end_attempt(event.attempt)
         if request is None or attempt is None:
@@ -230,7 +242,7 @@
             policies.limit.record_active(latency_ms / policies.latency.typical_ms[traffic_class])
         policies.latency.record_response(traffic_class, latency_ms)
         if endpoint.is_process_lost:
-            endpoint.restart(self.now)
+            endpoint.mark_restarted(self.now)
 
     def _record_failure(self, request: RequestState, endpoint: EndpointState, ended: EndedAttempt) -> None:
         policies = self.policies
@@ -242,43 +254,43 @@
             failures = endpoint.consecutive_failures
             self.log(f"eject {endpoint.id.hex()}: {failures} failures in a row, last status {ended.status}")
 
-    def _settle(self, request: RequestState, event: Outcome) -> None:
-        """Finish a request after one of its attempts has ended, or make a further attempt, or give it up."""
+    def _finish_or_retry(self, request: RequestState, event: Outcome) -> None:
+        """Finish a request after one of its attempts has ended, or retry it, or give it up."""
         policies = self.policies
         if event.status not in policies.retry_rules.proofs_of_not_run:
             request.may_have_run = True
         if event.finished and not request.is_finished:
             self._finish(request)
         if request.is_finished and not request.open_attempts:
-            self._forget(request)
+            self._remove(request)
         if request.is_finished or request.open_attempts:
             return
         rules = policies.retry_rules
         may_retry = rules.may_attempt(request, self.now) and rules.is_retry_useful(request, self.now)
         if may_retry and policies.retry_budget.can_withdraw(self.now):
-            self._place(request)
+            self._dispatch_or_queue(request)
         else:
             self._give_up(request)
 
     def _finish(self, request: RequestState) -> None:
-        """End a request; its open attempts are cancelled where hedges are made at all."""
+        """Mark a request as finished, and cancel its open attempts if hedging and cancelling are allowed."""
         request.is_finished = True
         if self._cancels_losers:
             for number, attempt in enumerate(request.attempts):
                 if attempt is not None:
                     self.actions.append(Cancel(request.id, number))
         if not request.open_attempts:
-            self._forget(request)
+            self._remove(request)
 
-    def _give_up_expired(self, request: RequestState) -> bool:
-        """Give up a request that was queued too long; return whether it is over."""
+    def _give_up_if_expired(self, request: RequestState) -> bool:
+        """Give up a request that was queued for too long; return whether it is finished."""
         now = self.now
         if (now > request.queue_until or now >= request.respond_by) and self._queue.is_expired(request, now):
             self._give_up(request)
         return request.is_finished
 
     def _give_up(self, request: RequestState) -> None:
-        """Send the final response: a rejection where that is true."""
+        """Send a final response: a rejection if a retry is harmless, else a failure."""
         self._queue.last_given_up_at = self.now
         if self.policies.retry_rules.may_reject(request):
             self.actions.append(Reject(request.id, self.policies.retry_rules.retry_after_ms(request)))
@@ -286,8 +298,11 @@
             self.actions.append(Fail(request.id))
         self._finish(request)
 
-    def _forget(self, request: RequestState) -> None:
-        """Drop a request that is over and has no open attempt: only now may the next of its key go."""
+    def _remove(self, request: RequestState) -> None:
+        """Drop a finished request without open attempts, and check the next request of its key.
+
+        Only now may that one be sent: requests of a key run one at a time.
+        """
         if self.pending.pop(request.id, None) is not None and request.key_queue is not None:
             waiting = request.key_queue.requests
             waiting.remove(request)
