--- a/alderspool/balancer/endpoint.py
+++ b/alderspool/balancer/endpoint.py
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True, eq=False)
 class EndpointState:
-    """State of one endpoint. Times are milliseconds; `..._at` and `..._until` are times of the caller's clock.
+    """State of one endpoint. All times are in ms; `..._at` and `..._until` are points on the caller's clock.
 
     The `..._by_class` lists have one item for each traffic class.
     """
--- a/alderspool/balancer/endpoint_list.py
+++ b/alderspool/balancer/endpoint_list.py
@@ -55,7 +55,7 @@
         zones: dict[int, list[EndpointState]] = {}
         for endpoint in sorted(self.endpoints_by_id.values(), key=endpoint_id):
             zone = zones.setdefault(endpoint.zone, [])
-            # Bit reversal gives neighbours in the ring distant ranks, so each subset has its share of the low ones.
+            # Bit reversal gives neighbours distant ranks, so that each subset has its share of the low ranks.
             endpoint.rotation_rank = bit_reversed(len(zone), RANK_BITS)
             zone.append(endpoint)
         ready = [[endpoint for endpoint in zones[zone] if endpoint.is_ready] for zone in sorted(zones)]
--- a/alderspool/balancer/events.py
+++ b/alderspool/balancer/events.py
@@ -1,6 +1,6 @@
-"""Events: what a balancer is notified of.
+"""Events: the notifications that a balancer receives.
 
-Times are milliseconds of the caller's clock, which never runs backwards.
+Times are milliseconds of the caller's clock, which is monotonic.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-EndpointId = bytes  # opaque; the simulator's wire uses six bytes
+EndpointId = bytes  # opaque; six bytes in the simulator's wire format and in load reports
 
 
 class Availability(IntEnum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint in the endpoint list."""
 
     READY = 0
     GONE = 1
@@ -24,8 +24,8 @@
 
     DELTA = 0
     FULL = 1
-    CACHED = 2  # the list as this instance last held it, possibly stale
-    FAILED = 3  # a call to discovery failed; no entries
+    CACHED = 2  # the complete list that this instance held last, possibly stale
+    FAILED = 3  # a call to discovery failed; the update has no entries
 
 
 class AttemptStatus(IntEnum):
@@ -33,26 +33,26 @@
 
     ERROR = 0
     OK = 1
-    REJECTED = 2  # by an endpoint at its limit: never ran, unless Settings.rejected_may_have_run
+    REJECTED = 2  # by an endpoint at its limit; never ran, unless Settings.rejected_may_have_run is set
     TIMEOUT = 3
     CONNECT_FAILED = 4  # never ran
-    RESET = 5
+    RESET = 5  # connection lost, or response cut short or invalid
     CANCELLED = 6
     NEVER_SENT = 7  # never ran
 
 
-# What proves that an attempt never ran; REJECTED only unless Settings.rejected_may_have_run.
+# Statuses that prove that an attempt never ran; REJECTED only if Settings.rejected_may_have_run is not set.
 NEVER_RAN = frozenset((AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NEVER_SENT))
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One line of the endpoint list."""
+    """One entry of the endpoint list."""
 
     id: EndpointId
     weight: float = 1.0
     cell: int = 0
-    started_at_ms: float = 0.0  # 0: long ago
+    started_at_ms: float = 0.0  # start of the endpoint's process; 0: long ago
     availability: int = Availability.READY
     zone: int = 0
     endpoint_type: int = 0
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class EndpointListUpdate:
-    """The endpoint list, or what changed in it."""
+    """The complete endpoint list, or the changes to it."""
 
     mode: int  # an UpdateMode
     entries: list[EndpointEntry]
@@ -69,10 +69,10 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request has come in."""
+    """A request has arrived from a client."""
 
     id: int
-    time_left_ms: float
+    time_left_ms: float  # until the client's deadline
     cls: int = 0  # index into Settings.classes
     tenant: int = 0  # index into Settings.tenants
     key: int = 0  # 0: none
@@ -85,17 +85,17 @@
     """An attempt has ended."""
 
     id: int  # of the request
-    attempt: int  # number among the attempts of the request, from 0
+    attempt: int  # index of the attempt within the request, from 0
     endpoint: EndpointId
     status: int  # an AttemptStatus
     latency_ms: float
-    finished: bool  # the request has had its final response
+    finished: bool  # the final response of the request has been sent to its client
     report: tuple[float, ...] = ()
 
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """The head of a streamed response has come."""
+    """The head of a streamed response has arrived."""
 
     id: int
     attempt: int
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client of a request has gone: no response is wanted any longer."""
+    """The client of a request has disconnected and no longer waits for a response."""
 
     id: int
 
@@ -122,14 +122,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that a SetTimer action asked for."""
+    """A timer that was set by a SetTimer action has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Bytes that another instance has sent."""
+    """A message from another proxy instance."""
 
     sender: int
     data: bytes
--- a/alderspool/balancer/latency_estimates.py
+++ b/alderspool/balancer/latency_estimates.py
@@ -1,7 +1,8 @@
-"""Typical and no-load latency by traffic class, the mix of classes, and the rate at which work arrives.
+"""Moving averages of the traffic: typical and no-load latency by class, the class mix and the arrival rate.
 
-A traffic class is a request class; where there is only one, cost hints split it in two. These are moving
-averages alone: their memories, priors and thresholds are in `latency`.
+The typical latency of a class is its mean, the no-load latency a low percentile. A traffic class is a request
+class; if there is only one, cost hints split it in two. The time constants, priors and thresholds are defined
+in `latency`.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class LatencyEstimates:
-    """Moving figures of the traffic: read on each request, rebuilt at each refresh. Times in ms."""
+    """Traffic estimates, read for each request and recomputed at each refresh. Times are milliseconds."""
 
     def __init__(self, settings: Settings) -> None:
         objectives = [request_class.latency_objective_ms for request_class in settings.classes]
@@ -33,11 +34,11 @@
         self.no_load_ms = [typical * latency.NO_LOAD_SHARE_OF_TYPICAL for typical in typical_ms]
         self.mean_typical_ms = sum(typical_ms) / self.class_count
         self.arrivals = ArrivalRate(latency.MIX_MEMORY_MS)  # of work, in requests of mean typical latency
-        self.started_at = 0.0  # of this instance
+        self.started_at = 0.0  # start of this instance
         self._mean_hint_ms = 0.0
 
     def record_request(self, request: Request) -> int:
-        """Count a request; return its traffic class."""
+        """Record the arrival of a request; return its traffic class."""
         traffic_class = request.cls
         hint_ms = request.cost_hint_ms
         if self.is_split_by_cost and 0.0 < hint_ms < inf:
@@ -50,13 +51,13 @@
         return traffic_class
 
     def record_response(self, traffic_class: int, latency_ms: float) -> None:
-        """Take in the latency of a served attempt."""
+        """Update the estimates with the latency of a served attempt."""
         self.typical.record(traffic_class, latency_ms)
         is_above = latency_ms > self.no_load_ms[traffic_class]
         self.no_load_ms[traffic_class] *= latency.NO_LOAD_RISE if is_above else latency.NO_LOAD_FALL
 
     def refresh(self, now: float, elapsed_ms: float) -> None:
-        """Rebuild the figures that requests read."""
+        """Recompute the estimates from the samples recorded so far."""
         decay = exp(-elapsed_ms / latency.MIX_MEMORY_MS)
         self.mix.refresh(decay)
         self.typical.refresh(decay)
@@ -66,15 +67,15 @@
 
 
 class WorkRate:
-    """A moving average of the work that endpoints serve for their size."""
+    """Moving average of the rate at which endpoints serve work, relative to their size."""
 
     def __init__(self, estimates: LatencyEstimates) -> None:
-        self.per_size = 0.0  # typical requests per ms and unit of size
-        self.mean_size = 0.0  # of the endpoints that it was last learned from
+        self.per_size = 0.0  # requests of mean typical latency, per ms and unit of size
+        self.mean_size = 0.0  # mean size of the endpoints at the last update
         self._estimates = estimates
 
     def learn(self, endpoints: list[EndpointState], now: float, elapsed_ms: float) -> None:
-        """Take in what these endpoints serve."""
+        """Update the average with the work that these endpoints served; leave it if there are none."""
         served_work = 0.0
         size = 0.0
         for endpoint in endpoints:
--- a/alderspool/balancer/policies.py
+++ b/alderspool/balancer/policies.py
@@ -1,4 +1,4 @@
-"""The policies of one balancer, wired together. It chooses nothing."""
+"""Constructs the policies of one balancer and connects them to each other."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Policies:
-    """One of each; they share the settings, the random source and each other."""
+    """One instance of each policy. They share the settings and the random number generator."""
 
     def __init__(self, settings: Settings, random: Random) -> None:
         self.latency = LatencyEstimates(settings)
--- a/alderspool/balancer/request_state.py
+++ b/alderspool/balancer/request_state.py
@@ -1,4 +1,4 @@
-"""Records of requests, attempts and keys. They choose nothing: policy modules set their times."""
+"""State records of requests, attempts and keys. The policy modules compute the times stored in them."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 
 class QueueRank(IntEnum):
-    """Which queued requests are dispatched first: the lowest rank."""
+    """Dispatch order of queued requests: the lowest rank goes first."""
 
     IN_TIME = 0
-    OVER_QUOTA = 1  # its tenant sends more than its quota
-    LATE = 2  # it can hardly meet its latency objective any more
+    OVER_QUOTA = 1  # the request's tenant exceeds its quota
+    LATE = 2  # the request is unlikely to meet its latency objective
 
 
 class KeyQueue:
-    """Requests of one key that must run one at a time, in order of arrival; the first may be running."""
+    """Requests of one key, which must run one at a time in order of arrival. The first may be running."""
 
     __slots__ = ("quiesce_until", "requests")
 
     def __init__(self) -> None:
         self.requests: list[RequestState] = []
-        self.quiesce_until = -inf  # an attempt whose outcome is known may still be running until then
+        self.quiesce_until = -inf  # until then, an attempt that ended here may still run at its endpoint
 
     def join(self, request: RequestState) -> None:
-        """Put a request at the end."""
+        """Append a request to the queue."""
         self.requests.append(request)
         request.key_queue = self
         request.awaits_key_turn = True
 
 
 class KeyQueues:
-    """The queues of all keys in use."""
+    """The key queues of all keys in use."""
 
     __slots__ = ("by_key",)
 
@@ -44,11 +44,11 @@
         self.by_key: dict[int, KeyQueue] = {}
 
     def of_key(self, key: int) -> KeyQueue:
-        """Return the queue of a key."""
+        """Return the queue of a key, creating it if necessary."""
         return self.by_key.setdefault(key, KeyQueue())
 
     def drop_idle(self, now: float) -> None:
-        """Drop what is known of keys without requests that have quiesced."""
+        """Drop the queues of keys that have quiesced and have no requests."""
         if self.by_key:
             self.by_key = {
                 key: queue
@@ -58,7 +58,7 @@
 
 
 class RequestState:
-    """A request without its final response, or with open attempts. Times are of the caller's clock, in ms."""
+    """A request that awaits its final response or has open attempts. Times are ms of the caller's clock."""
 
     __slots__ = (
         "attempts",
@@ -83,32 +83,33 @@
         "tried_endpoints",
     )
 
-    # Set by the admission queue as soon as it has the record.
-    respond_by: float  # the last moment for a final response of the balancer's own
-    objective_at: float
-    queue_until: float  # sent later it would hardly meet its latency objective
-    isolated_until: float  # until then it keeps to its part of the fleet
+    # Set by the admission queue right after construction.
+    respond_by: float  # latest time at which the balancer may send a rejection or failure of its own
+    objective_at: float  # time at which the latency objective is missed
+    queue_until: float  # if sent later, the request is unlikely to meet its latency objective
+    isolated_until: float  # until then class isolation restricts it to its class's part of the endpoints
 
     def __init__(self, request: Request, traffic_class: int, deadline: float) -> None:
         self.id = request.id
-        self.class_index = request.cls  # into Settings.classes
-        self.traffic_class = traffic_class  # the same, or its part by cost where there is one class
+        self.class_index = request.cls  # index into Settings.classes
+        self.traffic_class = traffic_class  # class index, or part by cost hint where there is only one class
         self.circuit_keys: CircuitKeys = circuit_keys(traffic_class, request.tenant)
         self.deadline = deadline
         self.rank = QueueRank.IN_TIME
-        self.attempts: list[Attempt | None] = []  # None: ended
+        self.attempts: list[Attempt | None] = []  # None: the attempt has ended
         self.tried_endpoints: list[EndpointId] = []
         self.open_attempts = 0
         self.is_finished = False  # has had its final response, or its client has disconnected
         self.key_queue: KeyQueue | None = None
         self.awaits_key_turn = False
-        self.may_have_run = False  # by an attempt that has ended
-        self.first_run_at = 0.0  # when and where the first attempt went that may have run
+        self.may_have_run = False  # some ended attempt is not proven never to have run
+        # When, and to which zone and cell, the first attempt was sent that may have run.
+        self.first_run_at = 0.0
         self.first_run_zone = 0
         self.first_run_cell = 0
 
     def begin_attempt(self, attempt: Attempt) -> None:
-        """Record an attempt as sent."""
+        """Record that an attempt was sent."""
         self.attempts.append(attempt)
         self.tried_endpoints.append(attempt.endpoint.id)
         self.open_attempts += 1
@@ -125,16 +126,19 @@
 
 
 class EndedAttempt(NamedTuple):
-    """What is known of an attempt that has ended."""
+    """The result of an attempt that has ended."""
 
-    status: int
+    status: int  # an AttemptStatus
     sent_at: float
     latency_ms: float
-    later_responses: int  # to attempts that were sent to the endpoint later
+    later_responses: int  # how many attempts sent to the endpoint later were served before this one ended
 
 
 class QueueEntry(NamedTuple):
-    """An entry of the admission queue's heap; the numbers are its order and never all alike."""
+    """A heap entry of the admission queue, ordered by its first three fields.
+
+    The sequence numbers are unique, so requests themselves are never compared.
+    """
 
     rank: QueueRank
     negative_priority: float
@@ -143,7 +147,7 @@
 
 
 class PriorityQueue:
-    """Requests by rank, then by priority, then the youngest first."""
+    """Orders requests by rank, then by priority, highest first, then by time queued, latest first."""
 
     __slots__ = ("_sequence", "entries")
 
@@ -152,6 +156,6 @@
         self._sequence = 0
 
     def push(self, request: RequestState, priority: float) -> None:
-        """Put in a request."""
+        """Add a request."""
         self._sequence += 1
         heappush(self.entries, QueueEntry(request.rank, -priority, -self._sequence, request))
--- a/alderspool/balancer/settings_reader.py
+++ b/alderspool/balancer/settings_reader.py
@@ -1,4 +1,4 @@
-"""Reads settings from the operators' path=value pairs: the one place where their keys meet our names."""
+"""Reads settings from the operators' path=value pairs. Only this module maps their keys to field names."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 
 def read_settings(pairs: Mapping[str, str]) -> Settings:
-    """Build the settings from path=value pairs; unknown keys are ignored, missing ones take the default.
+    """Build the settings from path=value pairs. Unknown keys are ignored; missing keys take their defaults.
 
-    Raises SettingsError, which names the key, where a value is missing or unusable.
+    Raises SettingsError, which names the key, if a value is invalid or a required one is missing.
     """
     get = PairReader(pairs)
     classes = [
-        _read_class(get, f"classes.{i}.", str(i)) for i in range(get.count("classes.count", 1, least=1))
+        _read_class(get, f"classes.{i}.", str(i)) for i in range(get.count("classes.count", 1, minimum=1))
     ]
     tenants = [_read_tenant(get, f"customers.{i}.", str(i)) for i in range(get.count("customers.count", 0))]
     list_on_request = _read_discovery_mode(get)
@@ -57,12 +57,12 @@
         report_fields=get.names("report.fields") if has_load_reports else [],
         zone=get.count("zone", 0),
         instance_number=get.count("my_number", 0),
-        instance_count=get.count("siblings", 1, least=1),
+        instance_count=get.count("siblings", 1, minimum=1),
         list_on_request=list_on_request,
         weights_listed=get.text("weights", "nominal") != "off",
         weights_live=get.text("weights", "nominal") == "live",
         warm_keys=get.flag("family_info.warm_keys", False),
-        max_attempts=get.count("bounds.max_attempts", 3, least=1),
+        max_attempts=get.count("bounds.max_attempts", 3, minimum=1),
         hedging_allowed=get.flag("bounds.may_duplicate", False),
         cancel_allowed=get.flag("bounds.cancel", False),
         health_checks_allowed=get.flag("bounds.probes", False),
@@ -90,7 +90,7 @@
         endpoint_types=get.names("shapes"),
         connect_timeout_ms=get.number("bounds.dial_timeout_ms", 1000.0, above=0.0),
         idle_timeout_ms=get.number("bounds.conn_idle_ms", 10000.0, above=0.0),
-        max_pending_requests=get.count("bounds.max_open", DEFAULT_MAX_PENDING_REQUESTS, least=1),
+        max_pending_requests=get.count("bounds.max_open", DEFAULT_MAX_PENDING_REQUESTS, minimum=1),
     )
 
 
@@ -118,7 +118,7 @@
 
 
 def _read_discovery_mode(get: PairReader) -> bool:
-    """Whether the endpoint list has to be polled for."""
+    """Return whether discovery has to be polled for the endpoint list."""
     mode = get.text("discovery", "pushed")
     if mode not in LIST_ON_REQUEST_BY_VALUE:
         raise SettingsError(f"discovery: unknown mode {mode!r}")
@@ -126,7 +126,7 @@
 
 
 def _check_retry_budget(get: PairReader) -> None:
-    """Check that a retry budget is stated as a whole or not at all."""
+    """Check that either all of the retry budget's keys are set or none."""
     if not any(get.has_value(key) for key in RETRY_BUDGET_KEYS):
         return
     get.number(RETRY_BUDGET_WINDOW, above=0.0)
@@ -135,25 +135,28 @@
 
 
 class PairReader:
-    """Typed access to path=value pairs. Each method raises SettingsError, which names the key."""
+    """Typed access to path=value pairs. Invalid values raise SettingsError, which names the key."""
 
     def __init__(self, pairs: Mapping[str, str]) -> None:
         self._pairs = pairs
 
     def has_value(self, key: str) -> bool:
-        """Whether the key is there and not empty."""
+        """Return whether the key is present with a value that is not empty."""
         return bool(self._pairs.get(key))
 
     def text(self, key: str, default: str) -> str:
-        """Return the value as it stands."""
+        """Return the value unchanged."""
         return self._pairs.get(key, default)
 
     def names(self, key: str) -> list[str]:
-        """Return the names in a comma-separated list, without empty ones."""
+        """Return the names in a comma-separated list, leaving out empty ones."""
         return [name for name in self.text(key, "").split(",") if name]
 
     def number(self, key: str, default: float | None = None, above: float | None = None) -> float:
-        """Return a finite number, at least 0 and over `above`; required where there is no default."""
+        """Return a finite number of at least 0 and, if `above` is given, greater than that.
+
+        The key is required if there is no default.
+        """
         raw = self._pairs.get(key)
         if raw is None or raw == "":
             if default is None:
@@ -169,15 +172,15 @@
             raise SettingsError(f"{key}: out of range: {raw!r}")
         return value
 
-    def count(self, key: str, default: int, least: int = 0) -> int:
-        """Return a whole number of at least `least`."""
+    def count(self, key: str, default: int, minimum: int = 0) -> int:
+        """Return a whole number of at least `minimum`."""
         value = self.number(key, float(default))
-        if value != int(value) or value < least:
-            raise SettingsError(f"{key}: not a whole number of at least {least}: {value}")
+        if value != int(value) or value < minimum:
+            raise SettingsError(f"{key}: not a whole number of at least {minimum}: {value}")
         return int(value)
 
     def flag(self, key: str, default: bool) -> bool:
-        """Return whether the value is true."""
+        """Return a boolean, written as `true` or `false`."""
         raw = self._pairs.get(key)
         if raw is None or raw == "":
             return default
@@ -186,7 +189,7 @@
         return raw == "true"
 
     def choice(self, key: str, choices: Mapping[str, Choice], default: str) -> Choice:
-        """Return the choice that the value names, in lower or upper case."""
+        """Return the choice named by the value, ignoring case."""
         raw = self._pairs.get(key, default)
         try:
             return choices[raw.lower()]
--- a/alderspool/balancer/timers.py
+++ b/alderspool/balancer/timers.py
@@ -1,4 +1,4 @@
-"""Timer tokens: the kind of a timer in the low bits, the request that it is for above them."""
+"""Timer tokens: the low bits hold the kind of the timer, the bits above them the id of its request."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class TimerKind(IntEnum):
-    """What is due when a timer fires. The values are part of the recorded traces of the simulator."""
+    """The purpose of a timer. The values appear in recorded traces of the simulator: do not change them."""
 
-    QUEUE = 0  # the admission queue is looked at
-    HEDGE = 1  # a request may be hedged
-    WATCH = 2  # discovery is polled again
-    LOAD_REPORT = 3  # peers get a full load report
-    KEY_TURN = 4  # a request may be the next of its key
+    QUEUE = 0  # check the admission queue
+    HEDGE = 1  # consider a hedge for a request
+    WATCH = 2  # poll discovery again
+    LOAD_REPORT = 3  # send a full load report to the peers
+    KEY_TURN = 4  # check whether a request may run as the next one of its key
 
 
 KIND_BITS = 3
@@ -20,5 +20,5 @@
 
 
 def timer_token(kind: TimerKind, request_id: int = 0) -> int:
-    """Return the token of a timer; without a request it is for the whole instance."""
+    """Return the token of a timer; timers of the whole instance need no request id."""
     return request_id << KIND_BITS | kind
--- a/tests/test_balancer_containers.py
+++ b/tests/test_balancer_containers.py
@@ -64,7 +64,7 @@
 
 
 def test_arrival_rate_averages_over_the_time_known() -> None:
-    arrivals = ArrivalRate(memory_ms=1000.0)
+    arrivals = ArrivalRate(time_constant_ms=1000.0)
     arrivals.since_refresh = 20.0
     arrivals.refresh(observed_ms=100.0, elapsed_ms=100.0)
     assert arrivals.rate == 0.2
