--- a/alderspool/balancer/endpoint_list.py
+++ b/alderspool/balancer/endpoint_list.py
@@ -38,11 +38,11 @@
                 endpoint.is_ready = False
         for entry in update.entries:
             self._apply_entry(entry)
-        oldest = now - removed_kept_ms
+        oldest_kept_at = now - removed_kept_ms
         self.endpoints_by_id = {
             endpoint.id: endpoint
             for endpoint in self.endpoints_by_id.values()
-            if endpoint.is_ready or endpoint.in_flight or endpoint.last_ready_at > oldest
+            if endpoint.is_ready or endpoint.in_flight or endpoint.last_ready_at > oldest_kept_at
         }
 
     def ready_ring(self) -> list[EndpointState]:
@@ -90,5 +90,5 @@
 
 
 def _is_new_process(endpoint: EndpointState, entry: EndpointEntry) -> bool:
-    is_back = entry.availability == Availability.READY and not endpoint.is_ready
-    return is_back or entry.started_at_ms > endpoint.started_at + START_TIME_ROUNDING_MS
+    is_ready_again = entry.availability == Availability.READY and not endpoint.is_ready
+    return is_ready_again or entry.started_at_ms > endpoint.started_at + START_TIME_ROUNDING_MS
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a whole: odd events, final responses, refresh, determinism."""
+"""The balancer as a whole: final responses, unusual events, determinism and refreshes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     assert driver.lb.requests.pending == {}
 
 
-def test_odd_but_legal_events_have_defined_results() -> None:
+def test_unusual_but_valid_events_have_defined_results() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=2)
     assert driver.outcome(99, 0, endpoint_id(0)) == []
     assert driver.handle(ClientDisconnected(99)) == []
@@ -66,14 +66,14 @@
     assert run() == run()
 
 
-def test_refreshes_less_often_where_few_requests_come() -> None:
+def test_refreshes_less_often_when_requests_are_rare() -> None:
     driver = Driver()
     driver.list_endpoints(2)
     driver.serve(1)
-    at = driver.lb.refresh.last_at
+    first_refresh_at = driver.lb.refresh.last_at
     driver.now += 200.0
     driver.serve(1)
-    assert driver.lb.refresh.last_at == at
+    assert driver.lb.refresh.last_at == first_refresh_at
     driver.now += 300.0
     driver.serve(1)
     assert driver.lb.refresh.last_at == driver.now - 5.0
--- a/tests/test_balancer_containers.py
+++ b/tests/test_balancer_containers.py
@@ -1,4 +1,4 @@
-"""General containers, moving averages and the byte codec of load reports."""
+"""General-purpose containers, moving averages, the wire format of load reports, and timer tokens."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     return endpoint
 
 
-def test_sliding_window_counts_from_its_start_on() -> None:
+def test_sliding_window_counts_events_since_the_given_start() -> None:
     window = SlidingWindowCount()
     for time in (1.0, 2.0, 2.0, 5.0):
         window.add(time)
     assert window.count_since(2.0) == 3
     assert window.count_since(2.5) == 1
-    assert window.count_since(0.0) == 1  # what was passed once is forgotten
+    assert window.count_since(0.0) == 1  # events before an earlier start have been discarded
 
 
 @pytest.mark.parametrize(
@@ -49,21 +49,21 @@
     assert [bit_reversed(number, 3) for number in range(8)] == [0, 4, 2, 6, 1, 5, 3, 7]
 
 
-def test_class_mix_takes_shares_before_it_fades() -> None:
+def test_class_mix_computes_shares_before_it_decays_the_counts() -> None:
     mix = ClassMix([1.0, 3.0])
     mix.refresh(decay=0.5)
     assert mix.shares == [0.25, 0.75]
     assert mix.counts == [0.5, 1.5]
 
 
-def test_mean_leans_on_its_former_value_and_stays_without_samples() -> None:
+def test_mean_counts_its_previous_value_as_samples_and_keeps_it_without_new_ones() -> None:
     means = MeansByClass([10.0, 10.0], prior_count=3.0, min_count=0.5)
     means.record(0, 50.0)
     means.refresh(decay=1.0)
     assert means.means == [20.0, 10.0]
 
 
-def test_arrival_rate_averages_over_the_time_known() -> None:
+def test_arrival_rate_averages_over_the_observed_time() -> None:
     arrivals = ArrivalRate(time_constant_ms=1000.0)
     arrivals.since_refresh = 20.0
     arrivals.refresh(observed_ms=100.0, elapsed_ms=100.0)
@@ -73,7 +73,7 @@
     assert arrivals.since_refresh == 0.0
 
 
-def test_sums_fade() -> None:
+def test_sums_decay() -> None:
     sums = DecayingSums(2)
     sums.values[1] = 4.0
     sums.decay(0.5)
@@ -83,7 +83,7 @@
     assert work == WorkSums(2.0, 1.0, 0.5)
 
 
-def test_load_reports_survive_the_codec_in_messages_of_limited_size() -> None:
+def test_load_reports_round_trip_in_messages_of_limited_size() -> None:
     endpoints = [_endpoint(number, in_flight=number) for number in range(5)]
     messages = encode_messages(endpoints, entries_per_message=2)
     assert [len(message) for message in messages] == [14, 14, 7]
@@ -91,7 +91,7 @@
     assert decoded == [(endpoint_id(number), number) for number in range(5)]
 
 
-def test_load_report_counts_no_more_than_one_byte_holds() -> None:
+def test_load_report_caps_the_count_at_one_byte() -> None:
     assert encode_entry(_endpoint(1, in_flight=300)) == endpoint_id(1) + b"\xff"
 
 
--- a/tests/test_balancer_endpoint_list.py
+++ b/tests/test_balancer_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list, and polls of discovery."""
+"""Updates of the endpoint list, and polling of discovery."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 )
 
 
-@pytest.mark.parametrize("how", [Availability.DRAINING, Availability.GONE])
-def test_sends_nothing_to_draining_or_removed_endpoint(how: Availability) -> None:
+@pytest.mark.parametrize("availability", [Availability.DRAINING, Availability.GONE])
+def test_sends_nothing_to_draining_or_removed_endpoint(availability: Availability) -> None:
     driver = Driver()
     driver.list_endpoints(2)
-    driver.update_list(EndpointEntry(endpoint_id(0), availability=how), mode=UpdateMode.DELTA)
+    driver.update_list(EndpointEntry(endpoint_id(0), availability=availability), mode=UpdateMode.DELTA)
     assert set(driver.serve(10)) == {endpoint_id(1)}
 
 
@@ -30,19 +30,18 @@
     assert set(driver.serve(5)) == {endpoint_id(2)}
     driver.now += 60_000.0
     driver.update_list(EndpointEntry(endpoint_id(2)))
-    assert list(driver.endpoints) == [endpoint_id(2)]  # nothing is kept of servers long gone
+    assert list(driver.endpoints) == [endpoint_id(2)]  # endpoints removed long ago are dropped
 
 
 def test_polled_discovery_is_watched_and_polled_again_with_backoff() -> None:
     driver = Driver(list_on_request=True)
     assert driver.log == [Watch()]
-    waits = []
+    backoffs_ms = []
     for _ in range(8):
         (timer,) = driver.update_list(mode=UpdateMode.FAILED)
-        waits.append(timer.delay_ms)
+        backoffs_ms.append(timer.delay_ms)
         driver.now += timer.delay_ms
         assert driver.timer(timer.token) == [Watch()]
-    assert 500.0 <= waits[0] <= 1000.0
-    assert (
-        waits[0] < waits[2] and max(waits) <= 4000.0 < driver.cfg.list_max_age_ms
-    )  # a drain counts as notified after 6 s
+    assert 500.0 <= backoffs_ms[0] <= 1000.0
+    # A drain counts as notified 6 s after it was made, so discovery must be polled again before that.
+    assert backoffs_ms[0] < backoffs_ms[2] and max(backoffs_ms) <= 4000.0 < driver.cfg.list_max_age_ms
