--- a/alderspool/balancer/latency_estimates.py
+++ b/alderspool/balancer/latency_estimates.py
@@ -21,14 +21,14 @@
 
     def __init__(self, settings: Settings) -> None:
         objectives = [request_class.latency_objective_ms for request_class in settings.classes]
-        mix = [latency.MIX_PRIOR_REQUESTS * min(objectives) / objective for objective in objectives]
+        initial_counts = [latency.MIX_PRIOR_REQUESTS * min(objectives) / objective for objective in objectives]
         typical_ms = [objective * latency.TYPICAL_SHARE_OF_OBJECTIVE for objective in objectives]
         self.is_split_by_cost = len(objectives) == 1
         if self.is_split_by_cost:
-            mix.append(latency.SPLIT_PRIOR)
+            initial_counts.append(latency.SPLIT_PRIOR)
             typical_ms *= 2
-        self.class_count = len(mix)
-        self.mix = ClassMix(mix)
+        self.class_count = len(initial_counts)
+        self.mix = ClassMix(initial_counts)
         self.typical = MeansByClass(typical_ms, latency.TYPICAL_PRIOR_RESPONSES, latency.MIN_RESPONSES)
         self.typical_ms = self.typical.means
         self.no_load_ms = [typical * latency.NO_LOAD_SHARE_OF_TYPICAL for typical in typical_ms]
@@ -53,8 +53,8 @@
     def record_response(self, traffic_class: int, latency_ms: float) -> None:
         """Update the estimates with the latency of a served attempt."""
         self.typical.record(traffic_class, latency_ms)
-        is_above = latency_ms > self.no_load_ms[traffic_class]
-        self.no_load_ms[traffic_class] *= latency.NO_LOAD_RISE if is_above else latency.NO_LOAD_FALL
+        is_above_estimate = latency_ms > self.no_load_ms[traffic_class]
+        self.no_load_ms[traffic_class] *= latency.NO_LOAD_RISE if is_above_estimate else latency.NO_LOAD_FALL
 
     def refresh(self, now: float, elapsed_ms: float) -> None:
         """Recompute the estimates from the samples recorded so far."""
