--- a/alderspool/balancer/latency_estimates.py
+++ b/alderspool/balancer/latency_estimates.py
@@ -21,14 +21,14 @@
 
     def __init__(self, settings: Settings) -> None:
         objectives = [request_class.latency_objective_ms for request_class in settings.classes]
-        initial_counts = [latency.MIX_PRIOR_REQUESTS * min(objectives) / objective for objective in objectives]
+        class_counts = [latency.MIX_PRIOR_REQUESTS * min(objectives) / objective for objective in objectives]
         typical_ms = [objective * latency.TYPICAL_SHARE_OF_OBJECTIVE for objective in objectives]
         self.is_split_by_cost = len(objectives) == 1
         if self.is_split_by_cost:
-            initial_counts.append(latency.SPLIT_PRIOR)
+            class_counts.append(latency.SPLIT_PRIOR)
             typical_ms *= 2
-        self.class_count = len(initial_counts)
-        self.mix = ClassMix(initial_counts)
+        self.class_count = len(class_counts)
+        self.mix = ClassMix(class_counts)
         self.typical = MeansByClass(typical_ms, latency.TYPICAL_PRIOR_RESPONSES, latency.MIN_RESPONSES)
         self.typical_ms = self.typical.means
         self.no_load_ms = [typical * latency.NO_LOAD_SHARE_OF_TYPICAL for typical in typical_ms]
