--- a/alderspool/balancer/endpoint.py
+++ b/alderspool/balancer/endpoint.py
@@ -98,7 +98,7 @@
     is_process_lost: bool = False  # ejected as connections failed: it will come back as a new, cold process
     is_ready: bool = True  # listed as ready
     started_at: float = 0.0  # start of the endpoint's process
-    last_ready_at: float = 0.0  # time of the last update of the list before which it was ready
+    last_ready_at: float = 0.0  # when an update of the list last found it still ready
     size: float = 0.0  # capacity relative to other endpoints: the weight in the endpoint list
     cell: int = 0
     zone: int = 0
--- a/alderspool/balancer/endpoint_list.py
+++ b/alderspool/balancer/endpoint_list.py
@@ -29,12 +29,12 @@
 
         An endpoint with open attempts is kept however long ago it was removed.
         """
-        listed = {entry.id for entry in update.entries}
+        listed_ids = {entry.id for entry in update.entries}
         for endpoint in self.endpoints_by_id.values():
             if endpoint.is_ready:
                 endpoint.last_ready_at = now
             # An endpoint that is missing from a complete list has been removed.
-            if update.mode != UpdateMode.DELTA and endpoint.id not in listed:
+            if update.mode != UpdateMode.DELTA and endpoint.id not in listed_ids:
                 endpoint.is_ready = False
         for entry in update.entries:
             self._apply_entry(entry)
