--- a/alderspool/balancer/endpoint.py
+++ b/alderspool/balancer/endpoint.py
@@ -75,7 +75,7 @@
     fair_share: float = 0.0  # share of all open attempts above which the rotation passes over the endpoint
     current_weight: float = -inf  # in the smooth weighted round robin; -inf: not yet in the rotation
     serves_long_work: bool = False
-    rotation_rank: int = 0  # position in the rotation order
+    rotation_rank: int = 0  # sort key of the rotation order
     limit: int = 1  # on open attempts of all instances together
     own_limit: int = 1  # open attempts that this instance may always have, whatever the peers have open
     in_flight: int = 0  # open attempts of this instance
