--- a/alderspool/balancer/admission_queue.py
+++ b/alderspool/balancer/admission_queue.py
@@ -8,7 +8,7 @@
 
 from alderspool.balancer.class_isolation import ISOLATED_SHARE_OF_OBJECTIVE
 from alderspool.balancer.events import Request
-from alderspool.balancer.latency import MIX_MEMORY_MS
+from alderspool.balancer.latency import TRAFFIC_DECAY_MS
 from alderspool.balancer.latency_estimates import LatencyEstimates
 from alderspool.balancer.moving_averages import FadingSums
 from alderspool.balancer.request_state import KeyQueue, KeyQueues, PriorityQueue, QueueRank, RequestState
@@ -65,7 +65,7 @@
         """Queue a request."""
         self.waiting.push(request, self._settings.classes[request.class_index].priority_weight)
 
-    def is_expired(self, request: RequestState, now: float) -> bool:
+    def try_expire(self, request: RequestState, now: float) -> bool:
         """Whether a request is given up that was queued until its time; if not it goes behind the others."""
         is_late_useless = self._settings.classes[request.class_index].late_priority_weight <= 0.0
         if now >= request.respond_by or is_late_useless:
@@ -115,6 +115,6 @@
         tenants = self._settings.tenants
         if tenant >= len(tenants):
             return False
-        self.tenant_rps.values[tenant] += 1000.0 / MIX_MEMORY_MS
+        self.tenant_rps.values[tenant] += 1000.0 / TRAFFIC_DECAY_MS
         quota_rps = tenants[tenant].quota_rps / self._settings.instance_count
         return 0.0 < quota_rps < self.tenant_rps.values[tenant]
--- a/alderspool/balancer/concurrency_limit.py
+++ b/alderspool/balancer/concurrency_limit.py
@@ -70,7 +70,7 @@
             if latency_ms > objective_ms:
                 self.work.late += work
 
-    def record_active(self, latency_ratio: float) -> None:
+    def record_active_latency(self, latency_ratio: float) -> None:
         """Take in the latency over the typical one of an attempt that the active endpoint served."""
         self.active_latency_ratio += (latency_ratio - self.active_latency_ratio) * RELIEF_GAIN
 
@@ -85,7 +85,7 @@
                 endpoint.limit = 1
                 endpoint.own_limit = 1
 
-    def learn(self, now: float, elapsed_ms: float, is_queueing: bool) -> bool:
+    def adjust_limit(self, now: float, elapsed_ms: float, is_queueing: bool) -> bool:
         """Adjust the limit; return whether a quiesce begins."""
         low_load = LOW_LOAD / self.sharing_instances
         slow_share = self._slow_share(now)
--- a/alderspool/balancer/hedging.py
+++ b/alderspool/balancer/hedging.py
@@ -17,6 +17,6 @@
     return now + MIN_TIME_LEFT_FACTOR * typical_ms <= request.objective_at
 
 
-def cancels_losers(settings: Settings) -> bool:
+def cancels_open_attempts(settings: Settings) -> bool:
     """Whether open attempts of a finished request are cancelled: only where hedges are made at all."""
     return settings.cancel_allowed and settings.hedging_allowed
--- a/alderspool/balancer/latency_estimates.py
+++ b/alderspool/balancer/latency_estimates.py
@@ -24,7 +24,7 @@
         typical_ms = [objective * latency.TYPICAL_SHARE_OF_OBJECTIVE for objective in objectives]
         self.is_split_by_cost = len(objectives) == 1
         if self.is_split_by_cost:
-            mix.append(latency.SPLIT_PRIOR)
+            mix.append(latency.COSTLY_PRIOR_REQUESTS)
             typical_ms *= 2
         self.class_count = len(mix)
         self.mix = ClassMix(mix)
@@ -32,7 +32,7 @@
         self.typical_ms = self.typical.means
         self.no_load_ms = [typical * latency.NO_LOAD_SHARE_OF_TYPICAL for typical in typical_ms]
         self.mean_typical_ms = sum(typical_ms) / self.class_count
-        self.arrivals = ArrivalRate(latency.MIX_MEMORY_MS)  # of work, in requests of mean typical latency
+        self.arrivals = ArrivalRate(latency.TRAFFIC_DECAY_MS)  # of work, in requests of mean typical latency
         self.started_at = 0.0  # of this instance
         self._mean_hint_ms = 0.0
 
@@ -57,7 +57,7 @@
 
     def refresh(self, now: float, elapsed_ms: float) -> None:
         """Rebuild the figures that requests read."""
-        fade = exp(-elapsed_ms / latency.MIX_MEMORY_MS)
+        fade = exp(-elapsed_ms / latency.TRAFFIC_DECAY_MS)
         self.mix.refresh(fade)
         self.typical.refresh(fade)
         mean = sum(share * ms for share, ms in zip(self.mix.shares, self.typical_ms, strict=True))
@@ -82,6 +82,6 @@
             size += endpoint.size
         if size:
             self.mean_size = size / len(endpoints)
-            known_ms = min(latency.FIGURE_MEMORY_MS, now - self._estimates.started_at + elapsed_ms)
+            known_ms = min(latency.SPEED_DECAY_MS, now - self._estimates.started_at + elapsed_ms)
             work_rate = served_work / (self._estimates.mean_typical_ms * known_ms) / size
             self.per_size += (work_rate - self.per_size) * self._estimates.arrivals.gain
--- a/alderspool/balancer/refresh.py
+++ b/alderspool/balancer/refresh.py
@@ -4,7 +4,7 @@
 
 from math import exp, inf
 
-from alderspool.balancer.latency import MIX_MEMORY_MS
+from alderspool.balancer.latency import TRAFFIC_DECAY_MS
 from alderspool.balancer.load_reports import PEER_SILENCE_MS
 from alderspool.balancer.outlier_detection import is_outlier
 from alderspool.balancer.policies import Policies
@@ -48,13 +48,13 @@
         policies = self._policies
         subset = policies.subset
         outlier_count = sum(1 for endpoint in subset.selected if is_outlier(endpoint))
-        if outlier_count != policies.outliers.outlier_count or subset.is_outgrown(now):
+        if outlier_count != policies.outliers.outlier_count or subset.needs_resize(now):
             self.reselect(now)
         policies.outliers.outlier_count = outlier_count
         elapsed_ms = min(max(now - self.last_at, MIN_ELAPSED_MS), MAX_ELAPSED_MS)
         self.last_at = now
         policies.connections.refresh(elapsed_ms)
-        policies.queue.tenant_rps.fade(exp(-elapsed_ms / MIX_MEMORY_MS))
+        policies.queue.tenant_rps.fade(exp(-elapsed_ms / TRAFFIC_DECAY_MS))
         policies.latency.refresh(now, elapsed_ms)
         if not subset.selected:
             return False
@@ -76,7 +76,7 @@
         policies.slow_start.refresh(endpoints, now, elapsed_ms)
         policies.rotation.rebuild_weights()
         policies.isolation.refresh(endpoints)
-        policies.rotation.admit_new_endpoints()
+        policies.rotation.update_fair_shares()
 
     def _rebuild_limits(self, now: float, elapsed_ms: float) -> bool:
         policies = self._policies
@@ -84,6 +84,6 @@
         mean_size = policies.endpoint_list.mean_size
         policies.limit.set_endpoint_limits(endpoints, mean_size)
         is_queueing = bool(policies.queue.waiting.entries)
-        begins_quiesce = policies.limit.learn(now, elapsed_ms, is_queueing)
+        begins_quiesce = policies.limit.adjust_limit(now, elapsed_ms, is_queueing)
         policies.limit.apply(endpoints, now, mean_size)
         return begins_quiesce
--- a/alderspool/balancer/request_dispatch.py
+++ b/alderspool/balancer/request_dispatch.py
@@ -16,7 +16,7 @@
 from alderspool.balancer.outlier_detection import WRITTEN_OFF_AFTER_RESPONSES
 from alderspool.balancer.policies import Policies
 from alderspool.balancer.request_state import EndedAttempt, QueueEntry, RequestState
-from alderspool.balancer.retry_rules import MAY_RUN_ON
+from alderspool.balancer.retry_rules import MAY_STILL_BE_RUNNING
 from alderspool.balancer.schedule import MAX_LOG_LINES
 from alderspool.balancer.settings import Settings
 from alderspool.balancer.timers import TimerKind, timer_token
@@ -32,7 +32,7 @@
         self.policies = policies
         self._settings = settings
         self._queue = policies.queue
-        self._cancels_losers = hedging.cancels_losers(settings)
+        self._cancels_open_attempts = hedging.cancels_open_attempts(settings)
         self._log_lines_left = MAX_LOG_LINES
 
     def accept(self, event: Request) -> None:
@@ -201,7 +201,7 @@
             self.now, request.traffic_class, attempt, is_served, WRITTEN_OFF_AFTER_RESPONSES
         )
         policies.limit.total_in_flight -= 1
-        if request.key_queue is not None and status in MAY_RUN_ON:
+        if request.key_queue is not None and status in MAY_STILL_BE_RUNNING:
             request.key_queue.quiesce_until = self.now + self._settings.key_quiesce_ms
         policies.connections.record_end(status, attempt.connection_idle_ms)
         if status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET):
@@ -227,7 +227,7 @@
         endpoint.served_by_class[traffic_class] += 1.0
         endpoint.busy_ms_by_class[traffic_class] += latency_ms
         if endpoint is policies.limit.active_endpoint:
-            policies.limit.record_active(latency_ms / policies.latency.typical_ms[traffic_class])
+            policies.limit.record_active_latency(latency_ms / policies.latency.typical_ms[traffic_class])
         policies.latency.record_response(traffic_class, latency_ms)
         if endpoint.is_process_lost:
             endpoint.restart(self.now)
@@ -245,7 +245,7 @@
     def _settle(self, request: RequestState, event: Outcome) -> None:
         """Finish a request after one of its attempts has ended, or make a further attempt, or give it up."""
         policies = self.policies
-        if event.status not in policies.retry_rules.proofs_of_not_run:
+        if event.status not in policies.retry_rules.never_ran_statuses:
             request.may_have_run = True
         if event.finished and not request.is_finished:
             self._finish(request)
@@ -263,7 +263,7 @@
     def _finish(self, request: RequestState) -> None:
         """End a request; its open attempts are cancelled where hedges are made at all."""
         request.is_finished = True
-        if self._cancels_losers:
+        if self._cancels_open_attempts:
             for number, attempt in enumerate(request.attempts):
                 if attempt is not None:
                     self.actions.append(Cancel(request.id, number))
@@ -273,7 +273,7 @@
     def _give_up_expired(self, request: RequestState) -> bool:
         """Give up a request that was queued too long; return whether it is over."""
         now = self.now
-        if (now > request.queue_until or now >= request.respond_by) and self._queue.is_expired(request, now):
+        if (now > request.queue_until or now >= request.respond_by) and self._queue.try_expire(request, now):
             self._give_up(request)
         return request.is_finished
 
--- a/alderspool/balancer/retry_rules.py
+++ b/alderspool/balancer/retry_rules.py
@@ -7,7 +7,7 @@
 from alderspool.balancer.settings import DeduplicationScope, Idempotency, Settings
 
 # An attempt that ended so may still be running at its endpoint.
-MAY_RUN_ON = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
+MAY_STILL_BE_RUNNING = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
 TRANSIT_CLOCK_STEPS = 4  # by which a retry goes out before the end of the deduplication window
 
 
@@ -19,7 +19,7 @@
         self._latency = latency
         self._classes = settings.classes
         proofs = NEVER_RAN - ({AttemptStatus.REJECTED} if settings.rejected_may_have_run else set())
-        self.proofs_of_not_run = tuple(sorted(proofs))  # statuses of attempts that never ran
+        self.never_ran_statuses = tuple(sorted(proofs))  # statuses of attempts that never ran
 
     def may_attempt(self, request: RequestState, now: float) -> bool:
         """Whether the request may have an attempt now, or one more."""
--- a/alderspool/balancer/rotation.py
+++ b/alderspool/balancer/rotation.py
@@ -14,7 +14,7 @@
 from alderspool.balancer.connection_health import CONNECT_FAILURES_HIGH, ConnectionHealth
 from alderspool.balancer.endpoint import EndpointState
 from alderspool.balancer.events import AttemptStatus
-from alderspool.balancer.latency import FIGURE_MEMORY_MS
+from alderspool.balancer.latency import SPEED_DECAY_MS
 from alderspool.balancer.latency_estimates import LatencyEstimates
 from alderspool.balancer.request_state import RequestState
 from alderspool.balancer.retry_rules import RetryRules
@@ -45,7 +45,7 @@
 
     def learn_speeds(self, now: float, elapsed_ms: float) -> None:
         """Rebuild the overall speeds; open attempts count, so that one that swallows work sinks soon."""
-        fade = exp(-elapsed_ms / FIGURE_MEMORY_MS)
+        fade = exp(-elapsed_ms / SPEED_DECAY_MS)
         typical_ms = self.latency.typical_ms
         prior_ms = SEED_PRIOR * self.latency.mean_typical_ms
         mean_size = self.subset.endpoint_list.mean_size
@@ -76,7 +76,7 @@
                 factor *= remote_factor
             endpoint.weight = max(weight, min_weight) * factor
 
-    def admit_new_endpoints(self) -> None:
+    def update_fair_shares(self) -> None:
         """Set fair shares; start new endpoints at a random phase, else all begin with the same one."""
         total = sum(endpoint.weight for endpoint in self.subset.selected)
         for endpoint in self.subset.selected:
--- a/alderspool/balancer/subset.py
+++ b/alderspool/balancer/subset.py
@@ -8,7 +8,7 @@
 
 from alderspool.balancer.endpoint import EndpointState, rotation_order
 from alderspool.balancer.endpoint_list import EndpointList
-from alderspool.balancer.latency import MIX_MEMORY_MS, MIX_PRIOR_REQUESTS
+from alderspool.balancer.latency import TRAFFIC_DECAY_MS, MIX_PRIOR_REQUESTS
 from alderspool.balancer.latency_estimates import LatencyEstimates
 from alderspool.balancer.outlier_detection import is_outlier
 from alderspool.balancer.settings import Settings
@@ -32,7 +32,7 @@
     ready_count: int = 0
     size: float = inf
 
-    def is_outgrown(self, now: float) -> bool:
+    def needs_resize(self, now: float) -> bool:
         """Whether the traffic needs a larger or a much smaller subset."""
         wanted = self._wanted_size(now)
         return wanted >= self.size + 1.0 or wanted < (1.0 - SHRINK_MARGIN) * self.size
@@ -63,7 +63,7 @@
         planned_rate = quota_rps / 1000.0 / self.settings.instance_count  # a mean instance's, per ms
         if planned_rate <= 0.0:
             return self._base_size()
-        known_ms = min(now - self.latency.started_at, MIX_MEMORY_MS)
+        known_ms = min(now - self.latency.started_at, TRAFFIC_DECAY_MS)
         arrived = self.latency.arrivals.rate * known_ms + MIX_PRIOR_REQUESTS
         planned = planned_rate * known_ms + MIX_PRIOR_REQUESTS
         return self._base_size() * max(arrived / planned, 1.0)
