--- a/alderspool/balancer/retry_rules.py
+++ b/alderspool/balancer/retry_rules.py
@@ -42,7 +42,7 @@
         no_load_ms = self._latency.no_load_ms[request.traffic_class]
         return is_late_useful or now + no_load_ms <= request.objective_at
 
-    def is_in_scope(self, request: RequestState, endpoint: EndpointState, now: float) -> bool:
+    def may_repeat_at(self, request: RequestState, endpoint: EndpointState, now: float) -> bool:
         """Whether a request that may have run may go to this endpoint too."""
         request_class = self._classes[request.class_index]
         if request_class.idempotency != Idempotency.KEYED or now > self.deduplicated_until(request):
