--- a/alderspool/balancer/admission_queue.py
+++ b/alderspool/balancer/admission_queue.py
@@ -1,7 +1,8 @@
 """Admission queue: requests that wait for capacity, or for the earlier requests of their key.
 
-In an overload the oldest first would make all late. So requests go by their tenant's quota, then by priority
-weight, then the youngest first, and what can hardly be in time any more is late or given up.
+In an overload, serving the oldest request first would make all of them late. Requests are therefore served by
+rank (those of tenants within their quota first), then by priority weight, then newest first. A request that
+can hardly meet its latency objective any more is either ranked as late or given up.
 """
 
 from math import inf
@@ -14,32 +15,37 @@
 from alderspool.balancer.request_state import KeyQueue, KeyQueues, PriorityQueue, QueueRank, RequestState
 from alderspool.balancer.settings import Settings
 
-# A request is queued until its latency objective less so many typical latencies, between these shares of it:
-# to send it later would hardly be in time.
+# A request may be queued until QUEUE_MARGIN_TYPICAL typical latencies before its latency objective, but for
+# MIN_QUEUE_SHARE of the objective at least and MAX_QUEUE_SHARE at most. Sent later, it would hardly be in time.
 QUEUE_MARGIN_TYPICAL = 1.5
 MIN_QUEUE_SHARE = 0.1
 MAX_QUEUE_SHARE = 0.4
 CHECK_INTERVAL_MS = 8.0  # while requests are queued
-RESPONSE_MARGIN_CLOCK_STEPS = 2  # before the deadline, on top of one check interval
-CANDIDATES_PER_DISPATCH = 4  # one that fits few endpoints must not stop the others
-MAX_KEY_QUEUE = 32  # requests of one key
+# A rejection is due this many clock steps, plus one check interval, before the deadline of the request.
+RESPONSE_MARGIN_CLOCK_STEPS = 2
+# A dispatch stops once so many requests have found no endpoint: one that fits few must not block the others.
+CANDIDATES_PER_DISPATCH = 4
+MAX_KEY_QUEUE = 32  # requests of one key that are queued or running
 KEY_TIMER_MARGIN_MS = 0.01
-# A client's later attempt has less time left than this share of the longest seen, and its objective ends with
-# the first one's. Not where even in calm traffic less than the second share of the requests have it all.
+# A request with less time left than FIRST_TRY_SHARE of the longest seen is taken for a client's retry, whose
+# latency objective ends when that of the client's first try does. Where fewer requests than
+# MIN_UNIFORM_DEADLINE_SHARE have the full time left even in calm traffic, clients use different deadlines, and
+# no request is taken for a retry.
 FIRST_TRY_SHARE = 0.95
-MIN_ALIKE_SHARE = 0.8
-ALIKE_GAIN = 0.01
-FIRST_TRY_CLOCK_STEPS = 3
+MIN_UNIFORM_DEADLINE_SHARE = 0.8
+UNIFORM_DEADLINE_GAIN = 0.01
+FIRST_TRY_CLOCK_STEPS = 3  # tolerance of the comparison
 
 
 class AdmissionQueue:
-    """Queued requests, by priority and by key. It sends nothing itself."""
+    """Holds the queued requests, by priority and by key. It does not send any itself."""
 
     def __init__(self, settings: Settings, latency: LatencyEstimates) -> None:
         self.waiting = PriorityQueue()
         self.key_queues = KeyQueues()
         self.is_timer_set = False
-        self.alike_share = [1.0] * len(settings.classes)  # of calm requests that have about as much time left
+        # Share of the requests in calm traffic that arrive with about the longest time left, by class.
+        self.uniform_deadline_share = [1.0] * len(settings.classes)
         self.tenant_rps = FadingSums(len(settings.tenants))
         self.last_given_up_at = -inf
         self._longest_time_left_ms = [0.0] * len(settings.classes)
@@ -47,7 +53,7 @@
         self._latency = latency
 
     def new_request(self, event: Request, traffic_class: int, now: float) -> RequestState:
-        """Return the record of a request that has come in, with the times until which it may be queued."""
+        """Return the state of a new request, with the times until which it may be queued."""
         request = RequestState(event, traffic_class, now + event.time_left_ms)
         objective_ms = self._objective_left_ms(event, now)
         queue_ms = objective_ms - QUEUE_MARGIN_TYPICAL * self._latency.typical_ms[traffic_class]
@@ -66,7 +72,7 @@
         self.waiting.push(request, self._settings.classes[request.class_index].priority_weight)
 
     def try_expire(self, request: RequestState, now: float) -> bool:
-        """Whether a request is given up that was queued until its time; if not it goes behind the others."""
+        """Return whether to give up a request whose queue time is over; if not, rank it as late."""
         is_late_useless = self._settings.classes[request.class_index].late_priority_weight <= 0.0
         if now >= request.respond_by or is_late_useless:
             return True
@@ -75,7 +81,7 @@
         return False
 
     def join_key_queue(self, request: RequestState, key: int, now: float) -> bool:
-        """Queue a request behind those of its key; return False if the key cannot serve it in time."""
+        """Queue a request behind the others of its key; return False if the key cannot serve it in time."""
         queue = self.key_queues.of_key(key)
         ahead = len(queue.requests)
         needed_ms = (ahead + 1) * self._latency.typical_ms[request.traffic_class]
@@ -85,7 +91,10 @@
         return True
 
     def key_turn_delay_ms(self, request: RequestState, queue: KeyQueue, now: float) -> float | None:
-        """Return None if it is the turn of the request and its key has quiesced, else when to check again."""
+        """Return None if the request is first in its queue and the key has quiesced.
+
+        Otherwise, return the delay in ms after which to check again.
+        """
         is_first = queue.requests[0] is request
         if is_first and now >= queue.quiesce_until:
             return None
@@ -95,23 +104,29 @@
         return max(check_at - now, 0.0) + KEY_TIMER_MARGIN_MS
 
     def _objective_left_ms(self, event: Request, now: float) -> float:
-        """Return the rest of the latency objective: a wave of client retries must not be served too late."""
+        """Return how much is left of the latency objective.
+
+        For a client's retry, the time since the first try is subtracted, so that a wave of client retries is
+        not served too late.
+        """
         request_class = self._settings.classes[event.cls]
         longest_ms = min(event.time_left_ms, request_class.deadline_ms)
         longest_ms = max(self._longest_time_left_ms[event.cls], longest_ms)
         self._longest_time_left_ms[event.cls] = longest_ms
         margin_ms = FIRST_TRY_CLOCK_STEPS * self._settings.clock_step_ms
         is_first_try = event.time_left_ms > FIRST_TRY_SHARE * longest_ms - margin_ms
-        # Calm traffic has no retries in it, so it shows whether clients differ in the time that they give.
+        # Calm traffic contains no client retries, so it shows whether clients use different deadlines.
         if now - self.last_given_up_at > request_class.deadline_ms:
             sample = 1.0 if is_first_try else 0.0
-            self.alike_share[event.cls] += (sample - self.alike_share[event.cls]) * ALIKE_GAIN
-        if is_first_try or self.alike_share[event.cls] < MIN_ALIKE_SHARE:
+            self.uniform_deadline_share[event.cls] += (
+                sample - self.uniform_deadline_share[event.cls]
+            ) * UNIFORM_DEADLINE_GAIN
+        if is_first_try or self.uniform_deadline_share[event.cls] < MIN_UNIFORM_DEADLINE_SHARE:
             return request_class.latency_objective_ms
         return request_class.latency_objective_ms + event.time_left_ms - request_class.deadline_ms
 
     def _is_over_quota(self, tenant: int) -> bool:
-        """Whether a tenant sends more than its quota: it waits behind all others."""
+        """Count a request of the tenant; return whether it exceeds its quota and waits behind the others."""
         tenants = self._settings.tenants
         if tenant >= len(tenants):
             return False
--- a/alderspool/balancer/class_isolation.py
+++ b/alderspool/balancer/class_isolation.py
@@ -14,7 +14,7 @@
 # class with more than MIN_SHARE_OF_REQUESTS of the requests.
 LONG_SHARE_OF_OBJECTIVE = 0.75
 MIN_SHARE_OF_REQUESTS = 0.1
-MIN_LONG_SHARE_OF_ENDPOINT = 0.5  # an endpoint serves long work if at least this share of it is needed for that
+MIN_LONG_SHARE_OF_ENDPOINT = 0.5  # an endpoint serves long work only if this share of it is needed for that
 # For this share of its latency objective a short request waits for an endpoint that serves short work; after
 # that it may go to any endpoint.
 ISOLATED_SHARE_OF_OBJECTIVE = 0.2
--- a/alderspool/balancer/retry_budget.py
+++ b/alderspool/balancer/retry_budget.py
@@ -1,6 +1,7 @@
-"""Retry budget: attempts beyond the first for a share of the requests only, else they multiply an overload.
+"""Retry budget: limits retries and hedges to a share of the requests, as more would amplify an overload.
 
-What never ran counts too: it cost a connection or a rejection. A budget stated by the settings comes on top.
+Retries of attempts that never ran count too, since each of these cost a connect or a rejection. A budget
+configured in the settings applies in addition.
 """
 
 from alderspool.balancer.containers import SlidingWindowCount
@@ -12,24 +13,27 @@
 
 
 class RetryBudget:
-    """The tokens that requests earn for retries, and the stated budget over a sliding window."""
+    """A token bucket filled by requests, and the configured budget over a sliding window."""
 
     def __init__(self, settings: Settings) -> None:
         self.tokens = INITIAL_TOKENS
         self._settings = settings
-        self._is_stated = settings.retry_budget_window_ms > 0.0
+        self._has_configured_budget = settings.retry_budget_window_ms > 0.0
         self._requests = SlidingWindowCount()
         self._retries = SlidingWindowCount()
 
     def deposit(self, now: float) -> None:
-        """Credit a request that has come in."""
+        """Credit a new request."""
         self.tokens = min(self.tokens + TOKENS_PER_REQUEST, MAX_TOKENS)
-        if self._is_stated:
+        if self._has_configured_budget:
             self._requests.add(now)
 
     def can_withdraw(self, now: float) -> bool:
-        """Whether one more retry is within the budget; a step of the clock is the margin of the window."""
-        if self._is_stated:
+        """Whether one more retry is within the budget.
+
+        The window is one clock step longer for retries, and one shorter for requests, to be on the safe side.
+        """
+        if self._has_configured_budget:
             settings = self._settings
             start = now - settings.retry_budget_window_ms
             retries = self._retries.count_since(start - settings.clock_step_ms)
@@ -41,5 +45,5 @@
     def withdraw(self, now: float) -> None:
         """Charge a retry or a hedge."""
         self.tokens -= 1.0
-        if self._is_stated:
+        if self._has_configured_budget:
             self._retries.add(now)
--- a/alderspool/balancer/retry_rules.py
+++ b/alderspool/balancer/retry_rules.py
@@ -1,4 +1,7 @@
-"""Retry rules: where idempotency lets a further attempt go, and for how long. They are safety rules."""
+"""Retry rules: where a further attempt may go, and until when, given the idempotency of the request's class.
+
+They are safety rules: a request must not run twice unless that does no harm.
+"""
 
 from alderspool.balancer.endpoint import EndpointState
 from alderspool.balancer.events import NEVER_RAN, AttemptStatus
@@ -6,23 +9,23 @@
 from alderspool.balancer.request_state import RequestState
 from alderspool.balancer.settings import DeduplicationScope, Idempotency, Settings
 
-# An attempt that ended so may still be running at its endpoint.
+# Statuses after which an attempt may still be running at its endpoint.
 MAY_STILL_BE_RUNNING = (AttemptStatus.TIMEOUT, AttemptStatus.RESET, AttemptStatus.CANCELLED)
-TRANSIT_CLOCK_STEPS = 4  # by which a retry goes out before the end of the deduplication window
+TRANSIT_CLOCK_STEPS = 4  # margin for transit: a retry is sent this long before the deduplication window ends
 
 
 class RetryRules:
-    """What may be repeated, by the settings of the class."""
+    """Decides which requests may be repeated and where, by the settings of their class."""
 
     def __init__(self, settings: Settings, latency: LatencyEstimates) -> None:
         self._settings = settings
         self._latency = latency
         self._classes = settings.classes
-        proofs = NEVER_RAN - ({AttemptStatus.REJECTED} if settings.rejected_may_have_run else set())
-        self.never_ran_statuses = tuple(sorted(proofs))  # statuses of attempts that never ran
+        statuses = NEVER_RAN - ({AttemptStatus.REJECTED} if settings.rejected_may_have_run else set())
+        self.never_ran_statuses = tuple(sorted(statuses))  # that prove that an attempt never ran
 
     def may_attempt(self, request: RequestState, now: float) -> bool:
-        """Whether the request may have an attempt now, or one more."""
+        """Whether the first or a further attempt of the request may be sent now."""
         if request.is_finished or now >= request.deadline:
             return False
         if len(request.attempts) >= self._settings.max_attempts:
@@ -35,7 +38,7 @@
         return idempotency == Idempotency.KEYED and now <= self.deduplicated_until(request)
 
     def is_retry_useful(self, request: RequestState, now: float) -> bool:
-        """Whether a retry that takes no more than the no-load latency would still be of use."""
+        """Whether a response after the no-load latency would still be useful."""
         if now >= request.respond_by:
             return False
         is_late_useful = self._classes[request.class_index].late_priority_weight > 0.0
@@ -43,7 +46,7 @@
         return is_late_useful or now + no_load_ms <= request.objective_at
 
     def may_repeat_at(self, request: RequestState, endpoint: EndpointState, now: float) -> bool:
-        """Whether a request that may have run may go to this endpoint too."""
+        """Whether a request that may have run already may be repeated at this endpoint."""
         request_class = self._classes[request.class_index]
         if request_class.idempotency != Idempotency.KEYED or now > self.deduplicated_until(request):
             return request_class.idempotency == Idempotency.IDEMPOTENT
@@ -54,13 +57,16 @@
         return endpoint.cell == request.first_run_cell
 
     def may_begin(self, request: RequestState, now: float) -> bool:
-        """Whether the last attempt may still go out, perhaps long after it was decided: it had to connect."""
+        """Whether the latest attempt may still be sent.
+
+        It may have waited long for its connection since it was decided on.
+        """
         is_keyed = self._classes[request.class_index].idempotency == Idempotency.KEYED
         is_retry = len(request.attempts) > 1
         return not (is_keyed and is_retry) or now <= self.deduplicated_until(request)
 
     def may_reject(self, request: RequestState) -> bool:
-        """Whether a rejection is true as final response: trying again must be harmless."""
+        """Whether the final response may be a rejection, after which the client may safely try again."""
         request_class = self._classes[request.class_index]
         if request_class.idempotency == Idempotency.KEYED:
             is_harmless = request_class.deduplication_scope == DeduplicationScope.ALL
@@ -69,11 +75,11 @@
         return is_harmless or not (request.may_have_run or request.open_attempts)
 
     def retry_after_ms(self, request: RequestState) -> float:
-        """Return the advice to the client of a rejected request; 0: none."""
+        """Return the Retry-After time for the client of a rejected request; 0: none."""
         objective_ms = self._classes[request.class_index].latency_objective_ms
         return min(objective_ms, self._settings.max_retry_after_ms) if self._settings.retry_after else 0.0
 
     def deduplicated_until(self, request: RequestState) -> float:
-        """Return until when a duplicate that is sent is surely dropped, transit included."""
+        """Return the latest time at which a duplicate may be sent and is sure to be dropped on arrival."""
         window_ms = self._classes[request.class_index].deduplication_window_ms
         return request.first_run_at + window_ms - TRANSIT_CLOCK_STEPS * self._settings.clock_step_ms
--- a/alderspool/balancer/rotation.py
+++ b/alderspool/balancer/rotation.py
@@ -26,10 +26,11 @@
 # of a rare class from deciding the weight.
 CLASS_PRIOR_ATTEMPTS = 6.0
 LISTED_WEIGHT_PRIOR_ATTEMPTS = 3.0  # prior of an endpoint's overall speed, taken from its listed weight
-FAILURE_COST = 4.0  # time charged for a failure, in typical latencies; otherwise failing fast looks like speed
+FAILURE_COST = 4.0  # typical latencies charged for a failure; otherwise failing fast would look like speed
 MIN_WEIGHT = 0.03  # share of the mean weight that each ready endpoint keeps, so that its recovery is noticed
 CROSS_ZONE_FACTOR = 10.0  # weights in other zones are reduced by this multiple of Settings.cross_zone_cost
-FAIR_SHARE_SLACK = 1.3  # an endpoint with more open attempts than this multiple of its share is passed over
+# An endpoint is passed over if it has more than this multiple of its share of the open attempts, plus one.
+FAIR_SHARE_SLACK = 1.3
 STALL_FACTOR = 2.5  # an endpoint silent for this many typical latencies with open attempts is stalled
 OPEN_CIRCUIT_PENALTY = 1e9  # subtracted from the current weight: ranks last among the fallback endpoints
 
@@ -62,7 +63,7 @@
             endpoint.speed = work / (sum(endpoint.in_flight_ms_by_class) + prior_ms)
 
     def rebuild_weights(self) -> None:
-        """Recompute the weights: the speeds for each class, scaled to a sum of 100, averaged by class share."""
+        """Recompute the weights: the speeds for each class, scaled to a sum of 100, weighted by its share."""
         endpoints = self.subset.selected
         weights = [0.0] * len(endpoints)
         for index, share in enumerate(self.latency.mix.shares):
--- a/alderspool/balancer/slow_start.py
+++ b/alderspool/balancer/slow_start.py
@@ -43,8 +43,8 @@
         self.work_rate.learn(warm, now, elapsed_ms)
         # Live weights drop under load, so an idle cold endpoint lists a multiple of the others' weight.
         max_size = self.work_rate.mean_size if warm and settings.weights_live else inf
-        # The arrival rate includes retries and rejected work, so it is used only until the work rate of a warm
-        # endpoint is known.
+        # The arrival rate includes retries and rejected work, so it is used only until the work rate of a
+        # warm endpoint is known.
         total_size = sum(endpoint.size for endpoint in endpoints)
         work_rate = self.work_rate.per_size or self.latency.arrivals.rate / total_size
         for endpoint in endpoints:
@@ -53,8 +53,8 @@
             if factor < 1.0:
                 rate = budget_factor * factor * min(endpoint.size, max_size) * work_rate
                 endpoint.cold_rate = rate
-                # Token counts start at random levels and unused tokens expire; otherwise hundreds of instances
-                # would each spend a token at the same time.
+                # Token counts start at random levels and unused tokens expire; otherwise hundreds of
+                # instances would each spend a token at the same time.
                 endpoint.cold_tokens += rate * elapsed_ms
                 max_tokens = 1.0 + rate * WINDOW_SHARE_KEPT * settings.cold_overload_window_ms
                 if endpoint.cold_tokens > max_tokens:
