--- a/tests/test_balancer_key_order.py
+++ b/tests/test_balancer_key_order.py
@@ -89,7 +89,7 @@
 def test_request_waiting_for_its_key_is_rejected_in_time_and_frees_the_next() -> None:
     driver = ordered()
     (first,) = sends(driver.request(0, key=7))
-    driver.policies.queue.alike_share = [0.0] * 3  # clients differ: less time is no sign of a client retry
+    driver.policies.queue.uniform_deadline_share = [0.0] * 3  # clients differ: less time is no sign of a client retry
     driver.request(0, key=7, left=300.0)
     driver.request(0, key=7)
     driver.now += 291.0
