--- a/alderspool/balancer/admission_queue.py
+++ b/alderspool/balancer/admission_queue.py
@@ -16,7 +16,7 @@
 from alderspool.balancer.settings import Settings
 
 # A request may be queued until QUEUE_MARGIN_TYPICAL typical latencies before its latency objective, but for
-# MIN_QUEUE_SHARE of the objective at least and MAX_QUEUE_SHARE at most. Sent later, it would hardly be in time.
+# MIN_QUEUE_SHARE to MAX_QUEUE_SHARE of the objective. Sent later, it would hardly be in time.
 QUEUE_MARGIN_TYPICAL = 1.5
 MIN_QUEUE_SHARE = 0.1
 MAX_QUEUE_SHARE = 0.4
@@ -28,9 +28,9 @@
 MAX_KEY_QUEUE = 32  # requests of one key that are queued or running
 KEY_TIMER_MARGIN_MS = 0.01
 # A request with less time left than FIRST_TRY_SHARE of the longest seen is taken for a client's retry, whose
-# latency objective ends when that of the client's first try does. Where fewer requests than
-# MIN_UNIFORM_DEADLINE_SHARE have the full time left even in calm traffic, clients use different deadlines, and
-# no request is taken for a retry.
+# latency objective ends when that of the client's first try does. If in calm traffic fewer requests than
+# MIN_UNIFORM_DEADLINE_SHARE have the full time left, clients use different deadlines, and no request is taken
+# for a retry.
 FIRST_TRY_SHARE = 0.95
 MIN_UNIFORM_DEADLINE_SHARE = 0.8
 UNIFORM_DEADLINE_GAIN = 0.01
--- a/tests/test_balancer_admission_queue.py
+++ b/tests/test_balancer_admission_queue.py
@@ -1,4 +1,4 @@
-"""Queued requests: order, expiry, tenants over quota."""
+"""The admission queue: order, expiry, and tenants over quota."""
 
 from __future__ import annotations
 
@@ -37,26 +37,26 @@
 
 
 def test_queued_requests_go_by_quota_then_priority_then_youngest_first() -> None:
-    cheap, dear = (
-        RequestClass("cheap", 800.0, 2000.0),
-        RequestClass("dear", 800.0, 2000.0, priority_weight=5.0),
+    low, high = (
+        RequestClass("low", 800.0, 2000.0),
+        RequestClass("high", 800.0, 2000.0, priority_weight=5.0),
     )
     tenants = [Tenant("a", quota_rps=1000.0), Tenant("b", quota_rps=0.001)]
-    driver = Driver([cheap, dear], tenants=tenants, instance_count=2)
+    driver = Driver([low, high], tenants=tenants, instance_count=2)
     driver.list_endpoints(1)
     driver.policies.limit.total = 1.0
-    driver.lb.refresh.last_at = 1e12  # the limit stays
-    (out,) = sends(driver.request(0))
+    driver.lb.refresh.last_at = 1e12  # no refresh: the limit stays
+    (send,) = sends(driver.request(0))
     for cls, tenant in ((1, 1), (0, 1), (0, 0), (1, 0), (1, 0), (0, 0)):  # requests 2 to 7
         assert not sends(driver.request(cls, tenant=tenant))
     order = []
     for _ in range(6):
-        (out,) = sends(driver.outcome(out.id, 0, out.endpoint))
-        order.append(out.id)
+        (send,) = sends(driver.outcome(send.id, 0, send.endpoint))
+        order.append(send.id)
     assert order == [6, 5, 7, 4, 2, 3]
 
 
-def test_rejects_queued_request_that_can_no_longer_be_in_time() -> None:
+def test_rejects_queued_request_that_can_no_longer_meet_its_objective() -> None:
     driver = Driver([UNSAFE], instance_count=2)
     driver.list_endpoints(1)
     driver.serve(200, took=100.0)  # typical: half of the latency objective
@@ -65,11 +65,11 @@
     sends(driver.request())
     driver.request()
     queued = driver.next_id
-    driver.now += 60.0  # of the objective of 200: what remains is less than the queue margin
+    driver.now += 60.0  # of the objective of 200 ms; the rest is less than the queue margin
     assert [a.id for a in finals(driver.timer(QUEUE_TIMER))] == [queued]
 
 
-def test_fresh_requests_go_before_late_ones() -> None:
+def test_requests_in_time_go_before_late_ones() -> None:
     driver = Driver([RequestClass("a", 100.0, 1000.0, late_priority_weight=0.5)])
     driver.list_endpoints(1)
     driver.policies.limit.per_endpoint = 1.0
--- a/tests/test_balancer_connection_health.py
+++ b/tests/test_balancer_connection_health.py
@@ -1,4 +1,4 @@
-"""Which connections are trusted or preferred."""
+"""Connection health: when open connections are preferred, and when idle ones are reopened."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 )
 
 
-def test_prefers_open_connections_where_connects_often_fail() -> None:
+def test_prefers_open_connections_if_connects_often_fail() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(3)
     (send,) = sends(driver.request())
     driver.outcome(send.id, 0, send.endpoint)  # one connection is open now
     assert len(set(driver.serve(6))) == 3
-    for s in driver.endpoints.values():
-        s.connections = int(s.id == send.endpoint)
+    for endpoint in driver.endpoints.values():
+        endpoint.connections = int(endpoint.id == send.endpoint)
     driver.policies.connections.connect_failure_share = 0.5
     assert set(driver.serve(6)) == {send.endpoint}
     driver.request()
-    assert sends(driver.request())  # a preference: with none free, a new one is opened
+    assert sends(driver.request())  # only a preference: with no idle connection, a new one is opened
 
 
-def test_reopens_connections_idle_for_as_long_as_a_lost_one() -> None:
+def test_reopens_connections_idle_for_as_long_as_one_that_was_reset() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(1)
     driver.serve(3)
--- a/tests/test_balancer_hedging.py
+++ b/tests/test_balancer_hedging.py
@@ -18,6 +18,6 @@
         driver.now += 90.0
         actions = driver.timer(timer_token(TimerKind.HEDGE, send.id))
         assert len(sends(actions)) == int(allowed)
-    copy = sends(actions)[0]
-    assert copy.endpoint != send.endpoint
-    assert driver.outcome(1, 1, copy.endpoint) == [Cancel(1, 0)]
+    hedge = sends(actions)[0]
+    assert hedge.endpoint != send.endpoint
+    assert driver.outcome(1, 1, hedge.endpoint) == [Cancel(1, 0)]
--- a/tests/test_balancer_latency.py
+++ b/tests/test_balancer_latency.py
@@ -18,7 +18,7 @@
     return LatencyEstimates(Settings(classes=[*classes]))
 
 
-def test_first_figures_follow_the_latency_objectives() -> None:
+def test_initial_estimates_follow_the_latency_objectives() -> None:
     estimates = _estimates(SHORT, LONG)
     assert estimates.typical_ms == [25.0, 250.0]
     assert estimates.no_load_ms == [12.5, 125.0]
@@ -32,7 +32,7 @@
     assert classes == [0, 0, 1, 0, 0, 0, 0]
 
 
-def test_cost_hint_splits_nothing_where_there_are_classes() -> None:
+def test_cost_hint_is_ignored_if_there_are_several_classes() -> None:
     estimates = _estimates(SHORT, LONG)
     classes = [
         estimates.record_request(Request(1, 400.0, 1, cost_hint_ms=hint_ms)) for hint_ms in (1.0, 900.0)
@@ -49,7 +49,7 @@
     assert estimates.typical_ms[1] == 250.0
 
 
-def test_no_load_latency_settles_low_among_the_responses() -> None:
+def test_no_load_latency_settles_at_a_low_percentile_of_the_responses() -> None:
     estimates = _estimates(SHORT, LONG)
     for number in range(5000):
         estimates.record_response(0, 20.0 + number % 100)
@@ -73,11 +73,11 @@
     [
         pytest.param(0, 10_000.0, 1000.0, id="first"),
         pytest.param(1, 10_000.0, 2000.0, id="doubles"),
-        pytest.param(9, 10_000.0, 4000.0, id="at most"),
-        pytest.param(9, 3000.0, 3000.0, id="before the list is stale"),
+        pytest.param(9, 10_000.0, 4000.0, id="capped"),
+        pytest.param(9, 3000.0, 3000.0, id="capped by the maximum age of the list"),
     ],
 )
-def test_poll_backoff_doubles_up_to_its_bounds(
+def test_poll_backoff_doubles_up_to_its_limits(
     failures: int, list_max_age_ms: float, expected_ms: float
 ) -> None:
     assert poll_backoff_ms(failures, list_max_age_ms, random_share=1.0) == expected_ms
--- a/tests/test_balancer_load_reports.py
+++ b/tests/test_balancer_load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports between peers."""
+"""Load reports between instances that use the same endpoints."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 )
 
 
-def test_reported_load_counts_until_the_peer_falls_silent() -> None:
+def test_reported_load_counts_until_the_peer_is_silent() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=3)
     driver.list_endpoints(2)
     driver.policies.limit.per_endpoint = 2.0
@@ -38,17 +38,19 @@
     assert [len(sends(driver.request())) for _ in range(3)] == [1, 1, 0]
 
 
-def test_reports_only_endpoints_that_the_peer_shares() -> None:
+def test_reports_changes_only_of_endpoints_that_the_peer_uses() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=7)
     driver.list_endpoints(2)
     driver.handle(PeerMessage(6, endpoint_id(0) + bytes((0,))))
     reports = [(a.peer, a.data[:6]) for _ in range(2) for a in driver.request() if isinstance(a, SendToPeer)]
     assert reports == [(6, endpoint_id(0))]
-    hello = [a for a in driver.timer(LOAD_REPORT_TIMER) if isinstance(a, SendToPeer)]
-    assert [(a.peer, a.data) for a in hello] == [(None, endpoint_id(0) + b"\1" + endpoint_id(1) + b"\1")]
+    full_report = [a for a in driver.timer(LOAD_REPORT_TIMER) if isinstance(a, SendToPeer)]
+    assert [(a.peer, a.data) for a in full_report] == [
+        (None, endpoint_id(0) + b"\1" + endpoint_id(1) + b"\1")
+    ]
 
 
-def test_reports_nothing_where_many_instances_share_an_endpoint() -> None:
+def test_reports_nothing_if_many_instances_share_an_endpoint() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=50)
     driver.list_endpoints(2)
     driver.handle(PeerMessage(6, endpoint_id(0) + bytes((0,))))
--- a/tests/test_balancer_outlier_detection.py
+++ b/tests/test_balancer_outlier_detection.py
@@ -14,7 +14,7 @@
 from alderspool.balancer.settings import RequestClass, Tenant
 
 
-def test_attempts_lost_in_one_pause_are_one_failure() -> None:
+def test_attempts_lost_in_one_pause_count_as_one_failure() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(1)
     driver.policies.limit.per_endpoint = 10.0
@@ -27,7 +27,7 @@
     assert driver.endpoints[endpoint_id(0)].consecutive_failures == 1
 
 
-def test_timeout_of_an_attempt_sent_too_late_is_no_failure_of_the_endpoint() -> None:
+def test_timeout_of_an_attempt_sent_too_late_does_not_count_against_the_endpoint() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(1)
     (send,) = sends(driver.request())
@@ -36,19 +36,22 @@
     assert driver.endpoints[endpoint_id(0)].consecutive_failures == 0
 
 
-def _fail(driver: Driver, bad: set[bytes], rounds: int) -> None:
+def _serve_with_failures(driver: Driver, failing_ids: set[bytes], rounds: int) -> None:
     for _ in range(rounds):
         for send in sends(driver.request()):
             driver.now += 30.0
             driver.outcome(
-                send.id, 0, send.endpoint, AttemptStatus.ERROR if send.endpoint in bad else AttemptStatus.OK
+                send.id,
+                0,
+                send.endpoint,
+                AttemptStatus.ERROR if send.endpoint in failing_ids else AttemptStatus.OK,
             )
 
 
-def test_failing_endpoint_is_ejected_and_returns_after_a_served_trial() -> None:
+def test_failing_endpoint_is_ejected_and_returns_after_a_successful_trial() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(4)
-    _fail(driver, {endpoint_id(0)}, 150)
+    _serve_with_failures(driver, {endpoint_id(0)}, 150)
     assert any(isinstance(a, Log) and a.text.startswith("eject 0a0000") for a in driver.log)
     driver.now += 200.0
     assert endpoint_id(0) not in driver.serve(5)
@@ -60,26 +63,26 @@
 def test_panic_keeps_back_off_short_when_most_endpoints_fail() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(4)
-    _fail(driver, {endpoint_id(i) for i in range(4)}, 60)
-    driver.now += 60.0  # a usual latency, not the seconds that a single bad server is left alone
+    _serve_with_failures(driver, {endpoint_id(i) for i in range(4)}, 60)
+    driver.now += 60.0  # a typical latency; the back-off of a single bad endpoint is seconds
     assert sends(driver.request())
 
 
-def test_timeout_opens_circuit_only_if_others_were_served_meanwhile() -> None:
+def test_timeout_opens_circuit_only_if_later_attempts_were_served() -> None:
     for others in (0, 1):
         driver = Driver([IDEMPOTENT, IDEMPOTENT], tenants=[Tenant("a")])
         driver.list_endpoints(1)
-        (s,) = driver.endpoints.values()
+        (endpoint,) = driver.endpoints.values()
         sends(driver.request(0))
         for _ in range(others):
             (send,) = sends(driver.request(1))
             driver.outcome(send.id, 0, send.endpoint)
         driver.now += 400.0
-        driver.outcome(1, 0, s.id, AttemptStatus.TIMEOUT, finished=True)
-        assert bool(s.circuits) == bool(others)
+        driver.outcome(1, 0, endpoint.id, AttemptStatus.TIMEOUT, finished=True)
+        assert bool(endpoint.circuits) == bool(others)
 
 
-def _kinds(**settings: object) -> Driver:
+def _two_class_driver(**settings: object) -> Driver:
     driver = Driver([RequestClass(name, 200.0, 400.0) for name in "ab"], **settings)
     driver.list_endpoints(2)
     return driver
@@ -87,7 +90,7 @@
 
 @pytest.mark.parametrize("status", [AttemptStatus.ERROR, AttemptStatus.REJECTED])
 def test_circuit_opens_only_for_the_class_that_fails(status: AttemptStatus) -> None:
-    driver = _kinds()
+    driver = _two_class_driver()
     (send,) = sends(driver.request(0))
     driver.outcome(send.id, 0, send.endpoint, status)
     for send in sends(driver.log)[1:]:
@@ -96,22 +99,22 @@
     driver.now += 100.0
     assert bad not in driver.serve(10, cls=0) and bad in driver.serve(10, cls=1)
     driver.now += 3000.0
-    assert bad in driver.serve(10, cls=0)  # tried again
+    assert bad in driver.serve(10, cls=0)  # it is tried again
 
 
 def test_circuit_of_a_tenant_opens_only_once_two_of_its_classes_failed() -> None:
-    driver = _kinds(tenants=[Tenant("x"), Tenant("y")])
-    s = driver.endpoints[endpoint_id(0)]
+    driver = _two_class_driver(tenants=[Tenant("x"), Tenant("y")])
+    endpoint = driver.endpoints[endpoint_id(0)]
 
     def fail(cls: int, tenant: int) -> None:
-        s.blocked_until, s.last_failure_at = 0.0, -1.0
+        endpoint.blocked_until, endpoint.last_failure_at = 0.0, -1.0
         for other in driver.endpoints.values():
-            other.blocked_until = 0.0 if other is s else driver.now + 1.0
+            other.blocked_until = 0.0 if other is endpoint else driver.now + 1.0
         (send,) = sends(driver.request(cls, tenant=tenant))
         driver.outcome(send.id, 0, send.endpoint, AttemptStatus.REJECTED)
 
     def is_open(key: tuple[int, int]) -> bool:
-        return key in s.circuits and s.circuits[key].open_until > driver.now
+        return key in endpoint.circuits and endpoint.circuits[key].open_until > driver.now
 
     fail(0, 1)
     assert is_open((0, 1)) and not is_open((0, -1)) and not is_open((-1, 1))
@@ -122,16 +125,16 @@
 def test_attempt_is_written_off_after_four_later_responses() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(1)
-    (s,) = driver.endpoints.values()
-    s.limit = s.own_limit = 2
-    driver.lb.refresh.last_at = 1e12  # the limit stays
-    assert len(sends(driver.request())) == 1  # swallowed
+    (endpoint,) = driver.endpoints.values()
+    endpoint.limit = endpoint.own_limit = 2
+    driver.lb.refresh.last_at = 1e12  # no refresh: the limit stays
+    assert len(sends(driver.request())) == 1  # never answered
     for _ in range(4):
-        assert s.written_off == 0
+        assert endpoint.written_off == 0
         (send,) = sends(driver.request())
         driver.now += 5.0
         driver.outcome(send.id, 0, send.endpoint)
-    assert (s.in_flight, s.written_off) == (1, 1)
-    assert [len(sends(driver.request())) for _ in range(3)] == [1, 1, 0]  # both places are free
-    driver.outcome(1, 0, s.id, AttemptStatus.TIMEOUT)
-    assert (s.in_flight, s.written_off, len(s.later_responses)) == (2, 0, 2)
+    assert (endpoint.in_flight, endpoint.written_off) == (1, 1)
+    assert [len(sends(driver.request())) for _ in range(3)] == [1, 1, 0]  # both slots are free
+    driver.outcome(1, 0, endpoint.id, AttemptStatus.TIMEOUT)
+    assert (endpoint.in_flight, endpoint.written_off, len(endpoint.later_responses)) == (2, 0, 2)
--- a/tests/test_balancer_retry_budget.py
+++ b/tests/test_balancer_retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget, earned and stated."""
+"""The retry budget: tokens that requests earn, and the configured budget."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from alderspool.balancer.timers import TimerKind, timer_token
 
 
-def test_stated_budget_counts_every_retry_over_its_window() -> None:
+def test_configured_budget_counts_every_retry_in_its_window() -> None:
     driver = Driver(
         [UNSAFE],
         retry_budget_window_ms=5000.0,
@@ -22,28 +22,28 @@
         max_attempts=9,
     )
     driver.list_endpoints(4)
-    (s,) = sends(driver.request())
-    for attempt in range(2):  # 1 + 0.25 x 1: one further attempt, whatever ended the one before
+    (send,) = sends(driver.request())
+    for attempt in range(2):  # 1 + 0.25 x 1 allows one retry, whatever ended the attempt before it
         actions = driver.outcome(
-            1, attempt, s.endpoint, [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED][attempt]
+            1, attempt, send.endpoint, [AttemptStatus.REJECTED, AttemptStatus.CONNECT_FAILED][attempt]
         )
         assert len(sends(actions)) == 1 - attempt
-        s = sends(actions)[0] if sends(actions) else s
-    assert finals(actions) == [Reject(1, 0.0)]  # at once
+        send = sends(actions)[0] if sends(actions) else send
+    assert finals(actions) == [Reject(1, 0.0)]  # immediately
     for _ in range(2):
-        (s,) = sends(driver.request())
+        (send,) = sends(driver.request())
         driver.now += 1.0
-        driver.outcome(s.id, 0, s.endpoint)
-    (s,) = sends(driver.request())  # the fourth: 1 + 0.25 x 4 = 2
-    (s,) = sends(driver.outcome(s.id, 0, s.endpoint, AttemptStatus.CONNECT_FAILED))
-    assert finals(driver.outcome(s.id, 1, s.endpoint, AttemptStatus.CONNECT_FAILED))
-    driver.now += 5010.0  # the window has passed, for requests too
-    (s,) = sends(driver.request())
-    (s,) = sends(driver.outcome(s.id, 0, s.endpoint, AttemptStatus.CONNECT_FAILED))
-    assert finals(driver.outcome(s.id, 1, s.endpoint, AttemptStatus.CONNECT_FAILED))
+        driver.outcome(send.id, 0, send.endpoint)
+    (send,) = sends(driver.request())  # the fourth request: 1 + 0.25 x 4 allows two retries
+    (send,) = sends(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED))
+    assert finals(driver.outcome(send.id, 1, send.endpoint, AttemptStatus.CONNECT_FAILED))
+    driver.now += 5010.0  # the window has passed, for the requests too
+    (send,) = sends(driver.request())
+    (send,) = sends(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED))
+    assert finals(driver.outcome(send.id, 1, send.endpoint, AttemptStatus.CONNECT_FAILED))
 
 
-def test_hedges_come_out_of_the_stated_budget() -> None:
+def test_hedges_count_against_the_configured_budget() -> None:
     driver = Driver(
         retry_budget_window_ms=5000.0,
         retry_budget_floor=1.0,
@@ -59,10 +59,10 @@
     assert not sends(driver.timer(timer_token(TimerKind.HEDGE, 2)))
 
 
-def test_retries_after_failed_connects_come_out_of_the_budget() -> None:
+def test_retries_after_failed_connects_count_against_the_budget() -> None:
     driver = Driver([UNSAFE])
     driver.list_endpoints(2)
-    driver.policies.retry_budget.tokens = 0.0  # each further connect would cost a server another handshake
+    driver.policies.retry_budget.tokens = 0.0  # a further connect would cost an endpoint a handshake
     (send,) = sends(driver.request())
     assert finals(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED)) == [Reject(1, 0.0)]
     assert driver.policies.retry_budget.tokens == 0.2
--- a/tests/test_balancer_rotation.py
+++ b/tests/test_balancer_rotation.py
@@ -19,12 +19,12 @@
     assert all(len(set(used[i : i + 4])) == 4 for i in range(0, 40, 4))
 
 
-def test_blends_class_figures_into_the_published_example_weights() -> None:
-    """Shares of 1/3 and 2/3 over P = 38/11/51 and 13/40/47 give W = 21/30/49, spread without runs."""
+def test_combines_class_speeds_into_the_published_example_weights() -> None:
+    """Class shares 1/3 and 2/3, speeds 38/11/51 and 13/40/47: weights 21/30/49, no three picks in a row."""
     driver = Driver([IDEMPOTENT, IDEMPOTENT])
     driver.list_endpoints(3)
     driver.serve(3)
-    driver.lb.refresh.last_at = driver.now + 1e9  # weights as given, not as learned
+    driver.lb.refresh.last_at = driver.now + 1e9  # no refresh: the weights stay as set below
     share, cpu, disk = (1 / 3, 2 / 3), (38, 11, 51), (13, 40, 47)
     weights = [share[0] * c + share[1] * p for c, p in zip(cpu, disk, strict=True)]
     assert [round(w) for w in weights] == [21, 30, 48]
@@ -45,7 +45,7 @@
     assert all(10 <= first[endpoint_id(i)] <= 30 for i in range(3))
 
 
-def test_faster_endpoints_earn_more_turns() -> None:
+def test_faster_endpoints_get_more_turns() -> None:
     driver = Driver()
     driver.list_endpoints(2)
     for _ in range(200):
@@ -61,7 +61,7 @@
     driver.list_endpoints(3)
     used = [sends(driver.request())[0] for _ in range(9)]
     assert Counter(s.endpoint for s in used) == {endpoint_id(i): 3 for i in range(3)}
-    for send in used:  # servers 1 and 2 answer, server 0 keeps what it has
+    for send in used:  # endpoints 1 and 2 respond, endpoint 0 keeps its attempts open
         if send.endpoint != endpoint_id(0):
             driver.now += 1.0
             driver.outcome(send.id, 0, send.endpoint)
@@ -81,13 +81,13 @@
     assert counts[endpoint_id(0)] < 10
 
 
-def test_figure_of_a_rare_class_leans_on_the_overall_figure() -> None:
+def test_speed_for_a_rare_class_stays_close_to_the_overall_speed() -> None:
     driver = Driver([UNSAFE, UNSAFE])
     driver.list_endpoints(2)
     for _ in range(100):
         driver.serve(4, took=20.0)
     (send,) = sends(driver.request(cls=1))
-    driver.now += 60.0  # one slow answer of a rare class is no verdict
+    driver.now += 60.0  # one slow response for a rare class must not decide the weight
     driver.outcome(send.id, 0, send.endpoint)
     counts = Counter(driver.serve(40, took=20.0))
     assert min(counts[endpoint_id(0)], counts[endpoint_id(1)]) >= 16
--- a/tests/test_balancer_slow_start.py
+++ b/tests/test_balancer_slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: budgets and sizes of endpoints that warm up."""
+"""Slow start: token budgets and sizes of endpoints that are warming up."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 )
 
 
-def _cold_share(cold: int, warm: int, rate: float, seconds: float) -> Counter[bytes]:
-    """Return what one instance sends to each endpoint in the `seconds` after `cold` of them have started."""
+def _count_sends(cold: int, warm: int, rate: float, seconds: float) -> Counter[bytes]:
+    """Count the attempts per endpoint in the `seconds` after the first `cold` endpoints have started."""
     driver = Driver(
         initial_capacity_share=0.1,
         slow_start_ms=20000.0,
@@ -43,15 +43,15 @@
     return counts
 
 
-@pytest.mark.parametrize(("cold", "warm", "most"), [(1, 9, 5), (5, 5, 5), (9, 1, 25), (10, 0, 5)])
-def test_cold_endpoints_stay_inside_their_budget(cold: int, warm: int, most: int) -> None:
-    """A cold endpoint may be sent 2.5 requests a second at most.
+@pytest.mark.parametrize(("cold", "warm", "max_sends"), [(1, 9, 5), (5, 5, 5), (9, 1, 25), (10, 0, 5)])
+def test_cold_endpoints_stay_within_their_budget(cold: int, warm: int, max_sends: int) -> None:
+    """A cold endpoint may get at most 2.5 requests per second.
 
-    Each usually carries 10 a second, a tenth of which it can do at first. One that is left warm and seen to
-    serve 90 a second shows that a cold one can do nine.
+    Each endpoint usually serves 10 per second, a tenth of which it can serve at first. If the only warm one
+    left serves 90 per second, a cold one can serve nine.
     """
-    counts = _cold_share(cold, warm, rate=100.0, seconds=2.0)
-    assert all(1 <= counts[endpoint_id(i)] <= most for i in range(cold))
+    counts = _count_sends(cold, warm, rate=100.0, seconds=2.0)
+    assert all(1 <= counts[endpoint_id(i)] <= max_sends for i in range(cold))
 
 
 def test_instance_that_has_just_started_keeps_the_budget() -> None:
@@ -62,53 +62,53 @@
     )
     counts: Counter[bytes] = Counter()
     for _ in range(100):
-        counts.update(s.endpoint for s in sends(driver.request()))
+        counts.update(send.endpoint for send in sends(driver.request()))
         driver.now += 10.0
     assert max(counts.values(), default=0) <= 3
 
 
-def test_endpoint_back_from_refused_connections_counts_as_cold() -> None:
+def test_endpoint_counts_as_cold_after_refused_connections() -> None:
     driver = Driver(initial_capacity_share=0.1, slow_start_ms=20000.0)
     driver.list_endpoints(2)
-    s = driver.endpoints[endpoint_id(0)]
-    for down in (True, False):
+    endpoint = driver.endpoints[endpoint_id(0)]
+    for is_down in (True, False):
         for _ in range(1000):
             for send in sends(driver.request()):
                 driver.now += 10.0
-                bad = down and send.endpoint == endpoint_id(0)
-                for again in sends(
+                bad = is_down and send.endpoint == endpoint_id(0)
+                for retry in sends(
                     driver.outcome(
                         send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED if bad else AttemptStatus.OK
                     )
                 ):
-                    driver.outcome(again.id, 1, again.endpoint)
-        assert s.is_process_lost == down
-    assert 0.1 <= driver.policies.slow_start.warm_up_factor(s, driver.lb.requests.now) < 1.0
+                    driver.outcome(retry.id, 1, retry.endpoint)
+        assert endpoint.is_process_lost == is_down
+    assert 0.1 <= driver.policies.slow_start.warm_up_factor(endpoint, driver.lb.requests.now) < 1.0
 
 
 def test_cold_budget_follows_what_warm_endpoints_serve() -> None:
     driver = Driver([UNSAFE], initial_capacity_share=0.2, slow_start_ms=20_000.0)
     driver.list_endpoints(1)
-    driver.serve(400)  # one warm server carries all of it
+    driver.serve(400)  # one warm endpoint serves all of them
     cold = [EndpointEntry(endpoint_id(i), started_at_ms=driver.now) for i in range(1, 10)]
     driver.update_list(*cold, mode=UpdateMode.DELTA)
-    server = driver.endpoints[endpoint_id(1)]
-    usual_load = 1.2 * 0.2 * driver.policies.latency.arrivals.rate / 10  # as if all ten shared it already
-    assert server.cold_rate > 3 * usual_load
-    assert server.cold_rate <= 1.2 * 0.21 * driver.policies.slow_start.work_rate.per_size
+    endpoint = driver.endpoints[endpoint_id(1)]
+    usual_load = 1.2 * 0.2 * driver.policies.latency.arrivals.rate / 10  # if all ten shared the load already
+    assert endpoint.cold_rate > 3 * usual_load
+    assert endpoint.cold_rate <= 1.2 * 0.21 * driver.policies.slow_start.work_rate.per_size
 
 
-def test_live_weight_of_an_empty_cold_endpoint_does_not_look_the_biggest() -> None:
+def test_live_weight_of_an_idle_cold_endpoint_does_not_exceed_the_others() -> None:
     driver = Driver(weights_live=True)
     driver.list_endpoints(3, weight=4.0)
     loaded = [EndpointEntry(endpoint_id(i), weight=1.0) for i in (0, 1)]
     driver.update_list(
         *loaded, EndpointEntry(endpoint_id(2), weight=4.0, started_at_ms=driver.now), mode=UpdateMode.DELTA
     )
-    assert [s.size for s in driver.endpoints.values()] == [4.0, 4.0, 4.0]
+    assert [endpoint.size for endpoint in driver.endpoints.values()] == [4.0, 4.0, 4.0]
 
 
-def test_unused_cold_tokens_lapse_and_instances_start_at_different_levels() -> None:
+def test_unused_cold_tokens_expire_and_instances_start_at_different_levels() -> None:
     levels = set()
     for seed in range(20):
         driver = Driver(
@@ -116,16 +116,16 @@
         )
         driver.list_endpoints(3)
         driver.update_list(EndpointEntry(endpoint_id(0), started_at_ms=driver.now), mode=UpdateMode.DELTA)
-        s = driver.endpoints[endpoint_id(0)]
-        levels.add(s.cold_tokens)
-        assert 0.0 <= s.cold_tokens < 1.0
+        endpoint = driver.endpoints[endpoint_id(0)]
+        levels.add(endpoint.cold_tokens)
+        assert 0.0 <= endpoint.cold_tokens < 1.0
         driver.policies.latency.arrivals.rate = 0.005
         for _ in range(40):
             driver.now += 500.0
             driver.refresh()
             driver.policies.latency.arrivals.rate = 0.005
-            if s.cold_rate < 1.0:
-                assert s.cold_tokens <= 1.0 + s.cold_rate * 375.0 + 1e-9
+            if endpoint.cold_rate < 1.0:
+                assert endpoint.cold_tokens <= 1.0 + endpoint.cold_rate * 375.0 + 1e-9
     assert len(levels) == 20
 
 
@@ -134,12 +134,11 @@
     driver.list_endpoints(1)
     driver.serve(400)
     driver.update_list(EndpointEntry(endpoint_id(1), started_at_ms=driver.now), mode=UpdateMode.DELTA)
-    carried = driver.policies.slow_start.work_rate.per_size
-    driver.policies.latency.arrivals.rate = 50.0 * carried  # a storm of clients' repeats
+    work_rate = driver.policies.slow_start.work_rate.per_size
+    driver.policies.latency.arrivals.rate = 50.0 * work_rate  # a surge of client retries
     driver.refresh()
-    assert (
-        0.0 < driver.endpoints[endpoint_id(1)].cold_rate <= 1.01 * 0.9 * 0.2 * carried
-    )  # 0.6 of the multiple that tips it
+    # 0.9 is OVERLOAD_SHARE, 0.6, of the cold_overload_factor.
+    assert 0.0 < driver.endpoints[endpoint_id(1)].cold_rate <= 1.01 * 0.9 * 0.2 * work_rate
 
 
 def test_live_weights_give_cold_endpoints_no_more_than_the_mean_size() -> None:
@@ -154,9 +153,13 @@
     driver.update_list(*loaded, EndpointEntry(endpoint_id(2), weight=1.0, started_at_ms=driver.now))
     driver.serve(200)
     driver.refresh()
-    s, carried = driver.endpoints[endpoint_id(2)], driver.policies.slow_start.work_rate.per_size
+    endpoint, work_rate = driver.endpoints[endpoint_id(2)], driver.policies.slow_start.work_rate.per_size
     assert (
         0.0
-        < s.cold_rate
-        <= 0.9 * driver.policies.slow_start.warm_up_factor(s, driver.lb.requests.now) * 0.2 * carried * 1.01
+        < endpoint.cold_rate
+        <= 0.9
+        * driver.policies.slow_start.warm_up_factor(endpoint, driver.lb.requests.now)
+        * 0.2
+        * work_rate
+        * 1.01
     )
--- a/tests/test_balancer_subset.py
+++ b/tests/test_balancer_subset.py
@@ -14,37 +14,37 @@
 
 
 def test_subsets_of_many_instances_cover_all_endpoints_evenly() -> None:
-    used = Counter(s.id for k in range(200) for s in fleet(k, 200, 100).selected)
+    used = Counter(endpoint.id for k in range(200) for endpoint in fleet(k, 200, 100).selected)
     assert len(used) == 100
-    assert set(used.values()) <= set(range(10, 15))  # 200 x 6 / 100 = 12 instances a server
+    assert set(used.values()) <= set(range(10, 15))  # 200 x 6 / 100 = 12 instances per endpoint
 
 
-def test_few_instances_use_every_endpoint_between_them() -> None:
+def test_few_instances_together_use_every_endpoint() -> None:
     assert len(fleet(0, 1, 100).selected) == 100
-    assert len({s.id for k in range(20) for s in fleet(k, 20, 100).selected}) == 100
+    assert len({endpoint.id for k in range(20) for endpoint in fleet(k, 20, 100).selected}) == 100
 
 
-def test_outliers_do_not_fill_the_subset() -> None:
+def test_outliers_do_not_count_towards_the_subset_size() -> None:
     driver = fleet(0, 200, 100)
-    before = {s.id for s in driver.selected}
-    for s in driver.selected[:5]:
-        s.consecutive_failures = 5
+    before = {endpoint.id for endpoint in driver.selected}
+    for endpoint in driver.selected[:5]:
+        endpoint.consecutive_failures = 5
     driver.now += 1000.0
     driver.request()
-    after = {s.id for s in driver.selected}
+    after = {endpoint.id for endpoint in driver.selected}
     assert before < after and len(after) == len(before) + 5
 
 
-def test_returning_endpoint_finds_its_place_in_the_subset() -> None:
+def test_returning_endpoint_gets_its_former_place_in_the_subset() -> None:
     driver = fleet(3, 200, 100)
-    before = [s.id for s in driver.selected]
-    lost = [
+    before = [endpoint.id for endpoint in driver.selected]
+    removed = [
         EndpointEntry(i, zone=driver.endpoints[i].zone, availability=Availability.GONE) for i in before[:2]
     ]
-    driver.update_list(*lost, mode=UpdateMode.DELTA)
-    assert len(driver.selected) == 6 and set(before[2:]) < {s.id for s in driver.selected}
+    driver.update_list(*removed, mode=UpdateMode.DELTA)
+    assert len(driver.selected) == 6 and set(before[2:]) < {endpoint.id for endpoint in driver.selected}
     driver.now += 5000.0
     driver.update_list(
         *(EndpointEntry(i, zone=driver.endpoints[i].zone) for i in before[:2]), mode=UpdateMode.DELTA
     )
-    assert [s.id for s in driver.selected] == before
+    assert [endpoint.id for endpoint in driver.selected] == before
