--- a/alderspool/balancer/admission_queue.py
+++ b/alderspool/balancer/admission_queue.py
@@ -20,7 +20,7 @@
 QUEUE_MARGIN_TYPICAL = 1.5
 MIN_QUEUE_SHARE = 0.1
 MAX_QUEUE_SHARE = 0.4
-CHECK_INTERVAL_MS = 8.0  # while requests are queued
+CHECK_INTERVAL_MS = 8.0  # between checks of the queue while requests are in it
 # A rejection is due this many clock steps, plus one check interval, before the deadline of the request.
 RESPONSE_MARGIN_CLOCK_STEPS = 2
 # A dispatch stops once so many requests have found no endpoint: one that fits few must not block the others.
@@ -72,7 +72,10 @@
         self.waiting.push(request, self._settings.classes[request.class_index].priority_weight)
 
     def try_expire(self, request: RequestState, now: float) -> bool:
-        """Return whether to give up a request whose queue time is over; if not, rank it as late."""
+        """Handle a request whose time in the queue is over.
+
+        Returns True if it is to be given up; otherwise, it is ranked as late and stays until `respond_by`.
+        """
         is_late_useless = self._settings.classes[request.class_index].late_priority_weight <= 0.0
         if now >= request.respond_by or is_late_useless:
             return True
--- a/alderspool/balancer/concurrency_limit.py
+++ b/alderspool/balancer/concurrency_limit.py
@@ -141,7 +141,10 @@
         self.total = max(self.per_endpoint * size / mean_size, 1.0) + self.total_in_flight - in_flight
 
     def _slow_share(self, now: float) -> float:
-        """Return the share of the work that was slow, or late while only late work counts."""
+        """Return the share of the work that was slow, or late while only late work counts.
+
+        Slow work counts again once it has become rare after a quiesce.
+        """
         ended_work = self.work.ended + PRIOR_WORK
         slow_share = self.work.slow / ended_work
         if slow_share <= TARGET_SLOW_SHARE and now > self.quiesce_until + SLOW_SHARE_DECAY_MS:
--- a/alderspool/balancer/hedging.py
+++ b/alderspool/balancer/hedging.py
@@ -1,4 +1,4 @@
-"""Hedging: a second attempt while the first is still open, in case that is at a paused or slow endpoint."""
+"""Hedging: a second attempt while the first is still open, perhaps at a paused or slow endpoint."""
 
 from alderspool.balancer.request_state import RequestState
 from alderspool.balancer.settings import Settings
@@ -19,5 +19,5 @@
 
 
 def cancels_open_attempts(settings: Settings) -> bool:
-    """Whether open attempts of a finished request are cancelled; only where hedging is allowed."""
+    """Whether open attempts of a finished request are cancelled; only if hedging is allowed too."""
     return settings.cancel_allowed and settings.hedging_allowed
--- a/alderspool/balancer/load_reports.py
+++ b/alderspool/balancer/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports between peers, i.e. instances that use the same endpoints: the open attempts of each."""
+"""Load reports between peers (instances that use the same endpoints): the open attempts of each."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 from alderspool.balancer.peer_loads import PeerLoads
 from alderspool.balancer.settings import Settings
 
-ENTRIES_PER_MESSAGE = 36  # that fit into one message to the peers
+ENTRIES_PER_MESSAGE = 36  # as many as fit into one message to a peer
 # Reports are sent only where fewer instances share an endpoint: each reports to each, at quadratic cost.
 MAX_SHARING_INSTANCES = 8.0
 PEER_SILENCE_MS = 2500.0  # a peer's reports are dropped after this silence: it has died or is cut off
--- a/alderspool/balancer/retry_rules.py
+++ b/alderspool/balancer/retry_rules.py
@@ -22,7 +22,7 @@
         self._latency = latency
         self._classes = settings.classes
         statuses = NEVER_RAN - ({AttemptStatus.REJECTED} if settings.rejected_may_have_run else set())
-        self.never_ran_statuses = tuple(sorted(statuses))  # that prove that an attempt never ran
+        self.never_ran_statuses = tuple(sorted(statuses))  # prove that an attempt never ran
 
     def may_attempt(self, request: RequestState, now: float) -> bool:
         """Whether the first or a further attempt of the request may be sent now."""
@@ -38,7 +38,7 @@
         return idempotency == Idempotency.KEYED and now <= self.deduplicated_until(request)
 
     def is_retry_useful(self, request: RequestState, now: float) -> bool:
-        """Whether a response after the no-load latency would still be useful."""
+        """Whether a retry would still be useful if its response takes the no-load latency."""
         if now >= request.respond_by:
             return False
         is_late_useful = self._classes[request.class_index].late_priority_weight > 0.0
