--- a/tests/test_balancer_key_order.py
+++ b/tests/test_balancer_key_order.py
@@ -60,7 +60,7 @@
     assert not sends(fire_key_timer(driver, 2))
     driver.now += 1.1
     assert [s.id for s in sends(fire_key_timer(driver, 2))] == [2]
-    assert not sends(fire_key_timer(driver, 2))  # it is sent only once
+    assert not sends(fire_key_timer(driver, 2))  # the request is sent only once
 
 
 def test_quiesce_of_a_key_is_kept_without_requests_until_it_is_over() -> None:
--- a/tests/test_balancer_outlier_detection.py
+++ b/tests/test_balancer_outlier_detection.py
@@ -64,7 +64,7 @@
     driver = Driver([UNSAFE])
     driver.list_endpoints(4)
     _serve_with_failures(driver, {endpoint_id(i) for i in range(4)}, 60)
-    driver.now += 60.0  # a typical latency; the back-off of a single bad endpoint is seconds
+    driver.now += 60.0  # a typical latency; outside panic mode, the back-off takes seconds
     assert sends(driver.request())
 
 
