--- a/alderspool/balancer/subset.py
+++ b/alderspool/balancer/subset.py
@@ -65,10 +65,10 @@
         would overload those of its subset.
         """
         quota_rps = sum(tenant.quota_rps for tenant in self.settings.tenants)
-        expected_rate = quota_rps / 1000.0 / self.settings.instance_count  # of a mean instance, per ms
-        if expected_rate <= 0.0:
+        planned_rate = quota_rps / 1000.0 / self.settings.instance_count  # of a mean instance, per ms
+        if planned_rate <= 0.0:
             return self._base_size()
         observed_ms = min(now - self.latency.started_at, TRAFFIC_DECAY_MS)
         arrived = self.latency.arrivals.rate * observed_ms + MIX_PRIOR_REQUESTS
-        expected = expected_rate * observed_ms + MIX_PRIOR_REQUESTS
-        return self._base_size() * max(arrived / expected, 1.0)
+        planned = planned_rate * observed_ms + MIX_PRIOR_REQUESTS
+        return self._base_size() * max(arrived / planned, 1.0)
--- a/tests/test_balancer_latency.py
+++ b/tests/test_balancer_latency.py
@@ -73,7 +73,7 @@
     [
         pytest.param(0, 10_000.0, 1000.0, id="first"),
         pytest.param(1, 10_000.0, 2000.0, id="doubles"),
-        pytest.param(9, 10_000.0, 4000.0, id="capped"),
+        pytest.param(9, 10_000.0, 4000.0, id="capped at the maximum"),
         pytest.param(9, 3000.0, 3000.0, id="capped by the maximum age of the list"),
     ],
 )
