--- a/alderspool/balancer/request_dispatch.py
+++ b/alderspool/balancer/request_dispatch.py
@@ -17,7 +17,7 @@
 from alderspool.balancer.outlier_detection import WRITTEN_OFF_AFTER_RESPONSES
 from alderspool.balancer.policies import Policies
 from alderspool.balancer.request_state import EndedAttempt, QueueEntry, RequestState
-from alderspool.balancer.retry_rules import MAY_RUN_ON
+from alderspool.balancer.retry_rules import MAY_STILL_BE_RUNNING
 from alderspool.balancer.schedule import MAX_LOG_LINES
 from alderspool.balancer.settings import Settings
 from alderspool.balancer.timers import TimerKind, timer_token
@@ -36,7 +36,7 @@
         self.policies = policies
         self._settings = settings
         self._queue = policies.queue
-        self._cancels_losers = hedging.cancels_losers(settings)
+        self._cancels_open_attempts = hedging.cancels_open_attempts(settings)
         self._log_lines_left = MAX_LOG_LINES
 
     def accept(self, event: Request) -> None:
@@ -213,7 +213,7 @@
             self.now, request.traffic_class, attempt, is_served, WRITTEN_OFF_AFTER_RESPONSES
         )
         policies.limit.total_in_flight -= 1
-        if request.key_queue is not None and status in MAY_RUN_ON:
+        if request.key_queue is not None and status in MAY_STILL_BE_RUNNING:
             request.key_queue.quiesce_until = self.now + self._settings.key_quiesce_ms
         policies.connections.record_end(status, attempt.connection_idle_ms)
         if status in (AttemptStatus.CONNECT_FAILED, AttemptStatus.RESET):
@@ -239,7 +239,7 @@
         endpoint.served_by_class[traffic_class] += 1.0
         endpoint.busy_ms_by_class[traffic_class] += latency_ms
         if endpoint is policies.limit.active_endpoint:
-            policies.limit.record_active(latency_ms / policies.latency.typical_ms[traffic_class])
+            policies.limit.record_active_latency(latency_ms / policies.latency.typical_ms[traffic_class])
         policies.latency.record_response(traffic_class, latency_ms)
         if endpoint.is_process_lost:
             endpoint.mark_restarted(self.now)
@@ -257,7 +257,7 @@
     def _finish_or_retry(self, request: RequestState, event: Outcome) -> None:
         """Finish a request after one of its attempts has ended, or retry it, or give it up."""
         policies = self.policies
-        if event.status not in policies.retry_rules.proofs_of_not_run:
+        if event.status not in policies.retry_rules.never_ran_statuses:
             request.may_have_run = True
         if event.finished and not request.is_finished:
             self._finish(request)
@@ -275,7 +275,7 @@
     def _finish(self, request: RequestState) -> None:
         """Mark a request as finished, and cancel its open attempts if hedging and cancelling are allowed."""
         request.is_finished = True
-        if self._cancels_losers:
+        if self._cancels_open_attempts:
             for number, attempt in enumerate(request.attempts):
                 if attempt is not None:
                     self.actions.append(Cancel(request.id, number))
@@ -285,7 +285,7 @@
     def _give_up_if_expired(self, request: RequestState) -> bool:
         """Give up a request that was queued for too long; return whether it is finished."""
         now = self.now
-        if (now > request.queue_until or now >= request.respond_by) and self._queue.is_expired(request, now):
+        if (now > request.queue_until or now >= request.respond_by) and self._queue.try_expire(request, now):
             self._give_up(request)
         return request.is_finished
 
