--- a/alderspool/program/__init__.py
+++ b/alderspool/program/__init__.py
@@ -1,1 +1,1 @@
-"""The program: configuration, wiring, signals, graceful shutdown and the command line."""
+"""The proxy process: command line, configuration, start-up, signal handling and graceful shutdown."""
--- a/alderspool/program/cli.py
+++ b/alderspool/program/cli.py
@@ -1,7 +1,7 @@
-"""The command line: `serve`, `check-config`, `version` and the commands of the lab.
+"""The command line: `serve`, `check-config`, `version` and the `lab` commands.
 
-The large modules are imported by the commands that need them, not here: `serve` has to record signals before
-it loads the proxy, and the lab's libraries need not be installed for it.
+Large modules are imported inside the commands that need them, not here: `serve` has to record signals before
+it loads the proxy, and it must run without the libraries of the lab.
 """
 
 from __future__ import annotations
@@ -17,23 +17,23 @@
 
 from alderspool import __version__
 from alderspool.program.errors import ConfigError
-from alderspool.program.signals import EarlySignals
+from alderspool.program.signals import StartupSignals
 
 if TYPE_CHECKING:
     from alderspool.program.config import Config
 
 LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "WARNING", "ERROR")
 LOG_FORMAT = "{time:YYYY-MM-DD HH:mm:ss.SSS} {level: <7} {message}"
-UNUSABLE_EXIT_CODE = 2
+STARTUP_ERROR_EXIT_CODE = 2
 
 
-class CannotStart(click.ClickException):
-    """The configuration is unusable or a library is missing: one line on standard error, exit code 2."""
+class StartupError(click.ClickException):
+    """The configuration is invalid or a library is missing: one line on standard error, exit code 2."""
 
-    exit_code = UNUSABLE_EXIT_CODE
+    exit_code = STARTUP_ERROR_EXIT_CODE
 
     def show(self, file: IO[Any] | None = None) -> None:
-        """Print the message as one line, also where it holds line breaks."""
+        """Print the message to standard error as one line; line breaks in it become spaces."""
         click.echo(f"alderspool: {' '.join(self.message.split())}", err=True)
 
 
@@ -43,12 +43,12 @@
     try:
         return load(os.environ)
     except ConfigError as error:
-        raise CannotStart(str(error)) from error
+        raise StartupError(str(error)) from error
 
 
 @dataclass(frozen=True, slots=True)
 class LazyCommand:
-    """A command that is imported when it is used."""
+    """Where to import a command from, and the requirements file that lists its libraries."""
 
     module: str
     attribute: str
@@ -56,7 +56,7 @@
 
 
 class LazyGroup(click.Group):
-    """A group of commands, some of which are imported only when they are used."""
+    """A command group that imports the commands of `LAZY_COMMANDS` only when they are used."""
 
     LAZY_COMMANDS: ClassVar[dict[str, LazyCommand]] = {
         "lab": LazyCommand("alderspool.lab.cli", "lab", "requirements-lab.txt"),
@@ -67,9 +67,9 @@
         return sorted([*super().list_commands(ctx), *self.LAZY_COMMANDS])
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of this name, imported if need be; None: there is none.
+        """Return the command with this name, importing it if necessary, or None if there is none.
 
-        Raises CannotStart where a library that the command needs is not installed.
+        Raises StartupError if a library that the command needs is not installed.
         """
         lazy_command = self.LAZY_COMMANDS.get(cmd_name)
         if lazy_command is None:
@@ -77,7 +77,7 @@
         try:
             module = importlib.import_module(lazy_command.module)
         except ModuleNotFoundError as error:
-            raise CannotStart(
+            raise StartupError(
                 f"{cmd_name} needs {error.name}: pip install -r {lazy_command.requirements_file}"
             ) from error
         command: click.Command = getattr(module, lazy_command.attribute)
@@ -96,16 +96,16 @@
 @click.option("--log-level", type=click.Choice(LOG_LEVELS), default="INFO", show_default=True)
 def serve(log_level: str) -> None:
     """Serve until SIGTERM, then finish the pending requests."""
-    early_signals = EarlySignals()
+    startup_signals = StartupSignals()
     logger.remove()
     logger.add(sys.stderr, level=log_level, format=LOG_FORMAT, backtrace=False, diagnose=False)
     config = _load_config()
     from alderspool.program.app import run
 
     try:
-        run(config, early_signals)
+        run(config, startup_signals)
     except ConfigError as error:
-        raise CannotStart(str(error)) from error
+        raise StartupError(str(error)) from error
 
 
 @main.command()
@@ -116,9 +116,9 @@
 
 @main.command("check-config")
 def check_config() -> None:
-    """Read the configuration as `serve` does, and print what it holds."""
+    """Read and validate the configuration as `serve` does, and print a summary."""
     config = _load_config()
-    # The text of this line is fixed: the endpoints are called machines here, and only here.
+    # The text of this line is part of the interface and must not change. It says "machines" for endpoints.
     click.echo(
         f"{config.name}: listens at {config.listen.host}:{config.listen.port},"
         f" discovery at {config.discovery.host}:{config.discovery.port},"
--- a/alderspool/program/config.py
+++ b/alderspool/program/config.py
@@ -1,7 +1,7 @@
-"""The configuration: environment variables and the configuration file, checked completely when read.
+"""Reads and validates the configuration: environment variables and the JSON configuration file.
 
-The keys of the file, other than those under `settings`, are the fields of the `...Doc` types here; the keys
-under `settings` are mapped in `balancer/settings_reader`.
+The fields of the `...Doc` types are the keys of the file, except those under `settings`, which are read by
+`balancer/settings_reader`.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class LimitsDoc(msgspec.Struct, frozen=True):
-    """What the process may use."""
+    """Resource limits of the process; only `sockets` is enforced by the program."""
 
     cores: float = 1.0
     memory_mb: float = 192.0
@@ -61,7 +61,7 @@
 
 
 class ConfigDoc(msgspec.Struct, frozen=True):
-    """The configuration file as it stands; `known` is the last known endpoint list."""
+    """The decoded configuration file; `known` is the last known endpoint list."""
 
     settings: dict[str, Any]
     seed: str
@@ -74,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration of one proxy, checked."""
+    """The validated configuration of one proxy."""
 
     name: str
     listen: Address
@@ -86,14 +86,14 @@
 
 
 class _DiscoveryPrecedence(Enum):
-    """Which discovery address counts where both the environment and the file state one."""
+    """Which discovery address is used if both the environment and the file contain one."""
 
     ENVIRONMENT = "environment"
     FILE = "file"
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration at the start; environment variables take precedence over the file.
+    """Read the configuration at start-up; environment variables take precedence over the file.
 
     Raises ConfigError.
     """
@@ -101,9 +101,9 @@
 
 
 def load_for_reload(environ: Mapping[str, str]) -> Config:
-    """Read the configuration again; for the discovery address the file takes precedence.
+    """Read the configuration again; the discovery address in the file takes precedence.
 
-    The file is what may have changed: the environment of the process is as it was at the start. Raises
+    Only the file can have changed, as the environment of a process stays as it was at its start. Raises
     ConfigError.
     """
     return _load(environ, _DiscoveryPrecedence.FILE)
@@ -156,7 +156,7 @@
 
 def _check_limits(limits: LimitsDoc) -> LimitsDoc:
     if limits.sockets < MIN_SOCKETS:
-        raise ConfigError("limits.sockets", f"under {MIN_SOCKETS}: {limits.sockets}")
+        raise ConfigError("limits.sockets", f"below the minimum of {MIN_SOCKETS}: {limits.sockets}")
     return limits
 
 
@@ -174,8 +174,8 @@
     return from_environment or doc.discovery
 
 
-def _parse_address(place: str, text: str) -> Address:
+def _parse_address(location: str, text: str) -> Address:
     try:
         return Address(*parse_address(text))
     except EndpointListError as error:
-        raise ConfigError(place, str(error)) from error
+        raise ConfigError(location, str(error)) from error
--- a/alderspool/program/errors.py
+++ b/alderspool/program/errors.py
@@ -1,15 +1,15 @@
-"""The errors of the program: what its operator has to mend before it can start or reload."""
+"""Errors that the operator has to correct before the proxy can start or reload."""
 
 from __future__ import annotations
 
 
 class ConfigError(ValueError):
-    """The configuration is unusable; the message is "place: problem".
+    """The configuration is invalid; the message has the form "location: problem".
 
-    The place is an environment variable, or a key of the configuration file.
+    The location is the name of an environment variable or a key of the configuration file.
     """
 
-    def __init__(self, place: str, problem: str) -> None:
-        super().__init__(f"{place}: {problem}")
-        self.place = place
+    def __init__(self, location: str, problem: str) -> None:
+        super().__init__(f"{location}: {problem}")
+        self.location = location
         self.problem = problem
--- a/alderspool/program/flattening.py
+++ b/alderspool/program/flattening.py
@@ -1,4 +1,4 @@
-"""Nested JSON settings as the flat path=value pairs that the settings reader takes."""
+"""Converts nested JSON settings to the flat path-value pairs that the settings reader expects."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Return the path=value pairs of a JSON value, as the simulator's wire protocol writes them.
+    """Return a JSON value as path-value pairs, in the format of the simulator's wire protocol.
 
-    A list that holds objects becomes `path.count` and one path per item; any other list becomes one value,
-    separated by commas.
+    A path consists of the keys of the nested objects, joined by dots. A list that contains objects becomes
+    `path.count` plus the pairs of each item under `path.0`, `path.1` and so on; any other list becomes one
+    comma-separated value.
     """
     if isinstance(value, dict):
         return _flatten_object(value, path)
@@ -22,15 +23,15 @@
 
 def _flatten_object(value: dict[str, object], path: str) -> dict[str, str]:
     pairs: dict[str, str] = {}
-    for key, inner in value.items():
-        pairs.update(flatten(inner, f"{path}.{key}" if path else key))
+    for key, member in value.items():
+        pairs.update(flatten(member, f"{path}.{key}" if path else key))
     return pairs
 
 
 def _flatten_list_of_objects(items: list[object], path: str) -> dict[str, str]:
     pairs = {f"{path}.count": str(len(items))}
-    for position, item in enumerate(items):
-        pairs.update(flatten(item, f"{path}.{position}"))
+    for index, item in enumerate(items):
+        pairs.update(flatten(item, f"{path}.{index}"))
     return pairs
 
 
--- a/alderspool/program/graceful_shutdown.py
+++ b/alderspool/program/graceful_shutdown.py
@@ -1,17 +1,17 @@
-"""Graceful shutdown: its steps in order, and the time that each of them may take.
+"""Graceful shutdown: the order of its steps and the time that each of them may take.
 
 After SIGTERM the proxy
 
-1. accepts connections for a while longer, and ends each connection with its next response;
-2. stops accepting, after it has taken what waits in the accept queue;
+1. drains: still accepts connections for a while, but closes each connection after its next response;
+2. stops accepting, after accepting the connections in the accept queue;
 3. finishes: waits for the pending requests, and closes idle connections;
-4. fails whatever request is pending by then, so that SIGKILL leaves none without a response;
-5. flushes: rejects incomplete requests, and waits until the responses are sent and the connections closed;
+4. fails the requests that are still pending, so that each has a response before SIGKILL may arrive;
+5. flushes: rejects incomplete requests, and waits until all responses are sent and all connections closed;
 6. aborts the connections that are still open.
 
-Steps 3 and 5 end early once there is nothing to wait for. Here are the order and the time only: how a
-connection ends is in `transport/listener`, how a request fails in `routing/exchange`, which signal starts
-the shutdown in `program/app`.
+Steps 3 and 5 end early once there is nothing left to wait for. This module only determines order and timing:
+`transport/listener` closes connections, `routing/exchange` fails requests, and `program/app` starts the
+shutdown on a signal.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 # Clients may still open connections for this long after SIGTERM was sent.
 ACCEPT_DURATION_S = 0.7
-# SIGKILL comes no sooner than ACCEPT_DURATION_S plus the longest deadline of any request class after
-# SIGTERM. A longer deadline counts as this.
+# The earliest SIGKILL follows SIGTERM after ACCEPT_DURATION_S plus the longest deadline of any request class,
+# or plus this if that deadline is longer.
 LONGEST_DEADLINE_CAP_S = 3.0
-# Pending requests are failed this long before SIGKILL may come: on a shared core timers fire late, and
-# SIGTERM was sent some time before its handler ran here. Where the longest deadline is short, the margin is
-# no more than this share of it.
+# Pending requests are failed this long before the earliest SIGKILL: timers fire late on a shared core, and
+# SIGTERM was sent some time before its handler ran in this process.
 SIGKILL_MARGIN_S = 0.25
+# If the longest deadline is short, the margin is at most this share of it.
 SIGKILL_MARGIN_MAX_SHARE = 0.25
-# The last responses may take this long to be sent; clients that have not read theirs by then are cut off.
+# Time limit for sending the last responses; connections whose clients have not read theirs by then are aborted.
 FLUSH_TIMEOUT_S = 3.0
 CHECK_INTERVAL_S = 0.02
 
@@ -40,42 +40,42 @@
 
 
 class PendingRequests(Protocol):
-    """The requests without a final response, as a shutdown sees them; `Exchange` is one."""
+    """The part of `Exchange` that the shutdown uses."""
 
     @property
     def pending_count(self) -> int:
-        """Requests whose final response is still to come."""
+        """Number of requests without a final response."""
 
     def fail_pending(self) -> None:
-        """Fail every pending request at once, and reject all that come later."""
+        """Fail all pending requests immediately, and reject all later ones."""
 
 
 class ClientConnections(Protocol):
-    """The downstream side, as a shutdown sees it; `Listener` is one."""
+    """The part of `Listener` that the shutdown uses."""
 
     @property
     def open_count(self) -> int:
-        """Connections that are not closed yet."""
+        """Number of connections that are not closed yet."""
 
     def start_draining(self) -> None:
-        """End each connection with its next response; still accept new ones."""
+        """Close each connection after its next response; new connections are still accepted."""
 
     def stop_accepting(self) -> None:
-        """Accept what waits in the accept queue, then close the listening socket."""
+        """Accept the connections in the accept queue, then close the listening socket."""
 
     def close_idle(self) -> None:
-        """Close the connections without a request."""
+        """Close the connections that have no request."""
 
     def reject_incomplete(self) -> None:
-        """Reject requests that have not been received completely."""
+        """Reject the requests that have not been received completely."""
 
     def abort_all(self) -> None:
-        """Cut off all connections that are still open."""
+        """Abort all connections that are still open."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownBudget:
-    """How long the steps of a shutdown that wait may take at most, in seconds."""
+    """The longest durations of the shutdown steps that wait, in seconds."""
 
     accept_s: float
     finish_s: float
@@ -83,7 +83,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> ShutdownBudget:
-        """Return the budget that fails the pending requests before SIGKILL may come."""
+        """Return a budget with which pending requests are failed before SIGKILL may arrive."""
         longest_class_deadline_ms = max(request_class.deadline_ms for request_class in settings.classes)
         longest_deadline_s = min(longest_class_deadline_ms / MILLISECONDS_PER_SECOND, LONGEST_DEADLINE_CAP_S)
         margin_s = min(SIGKILL_MARGIN_S, SIGKILL_MARGIN_MAX_SHARE * longest_deadline_s)
@@ -95,21 +95,21 @@
 
     @property
     def fail_pending_after_s(self) -> float:
-        """Time from the start of the shutdown until pending requests are failed."""
+        """Longest time from the start of the shutdown until pending requests are failed."""
         return self.accept_s + self.finish_s
 
     @property
     def abort_after_s(self) -> float:
-        """Time from the start of the shutdown until open connections are aborted."""
+        """Longest time from the start of the shutdown until open connections are aborted."""
         return self.fail_pending_after_s + self.flush_s
 
 
 async def shut_down(
     requests: PendingRequests, connections: ClientConnections, budget: ShutdownBudget
 ) -> None:
-    """Run all steps of the shutdown; on return each request has had its response and no connection is open.
+    """Run all steps of the shutdown; the durations of `budget` count from this call.
 
-    The times of the budget count from this call.
+    On return every request has been given its final response, and no connection is open.
     """
     loop = asyncio.get_running_loop()
     started_at_s = loop.time()
--- a/alderspool/program/signals.py
+++ b/alderspool/program/signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive while the program is still loading: recorded, and handled once it can."""
+"""Records the signals that arrive before the event loop can handle them."""
 
 from __future__ import annotations
 
@@ -8,16 +8,18 @@
 
 HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)
 
-SignalAction = Callable[[], None]
+SignalHandler = Callable[[], None]
 
 
-class EarlySignals:
+class StartupSignals:
     """Records each of `HANDLED_SIGNALS` that arrives until the event loop handles them.
 
-    Once this object is made, none of these signals ends the process; a signal that arrives several times is
-    recorded once. Before that, SIGTERM ends the process, which has accepted nothing yet. SIGHUP would end it
-    too, and that would be a crash: so `__main__` and `run` in `deploy/balancer.toml` have SIGHUP ignored from
-    the first moment. No reload is lost by that, because the configuration is read later.
+    Creating the object installs its signal handlers; from then on none of these signals ends the process. A
+    signal that arrives several times is recorded once.
+
+    Before that, SIGTERM ends the process, which has not accepted any connection yet. SIGHUP would end it too,
+    which would be a crash, so `__main__` and the `run` command in `deploy/balancer.toml` ignore SIGHUP from
+    the start of the process. No reload is lost by that, because the configuration is read later.
     """
 
     def __init__(self) -> None:
@@ -28,13 +30,13 @@
     def _record(self, number: int, frame: FrameType | None) -> None:
         self._received.add(number)
 
-    def replay(self, actions: Mapping[signal.Signals, SignalAction]) -> None:
-        """Run the action of each recorded signal once, in the order of `actions`.
+    def replay(self, handlers: Mapping[signal.Signals, SignalHandler]) -> None:
+        """Call the handler of each recorded signal once, in the order of `handlers`.
 
-        The handlers that replace ours have to be installed before this call: a signal between the two would
-        be recorded and never handled.
+        The handlers must be installed in the event loop before this call: a signal that arrived after the
+        replay and before their installation would be recorded but never handled.
         """
-        for number, action in actions.items():
+        for number, handler in handlers.items():
             if number in self._received:
                 self._received.discard(number)
-                action()
+                handler()
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -113,10 +113,12 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "place", "problem"),
+    ("text", "location", "problem"),
     [
         pytest.param(changed(seed="xyz"), "seed", "not hexadecimal: 'xyz'", id="seed"),
-        pytest.param(changed(limits={"sockets": 3}), "limits.sockets", "under 64: 3", id="limits"),
+        pytest.param(
+            changed(limits={"sockets": 3}), "limits.sockets", "below the minimum of 64: 3", id="limits"
+        ),
         pytest.param(
             changed(settings=SETTINGS | {"zone": "left"}),
             "settings.zone",
@@ -125,11 +127,13 @@
         ),
     ],
 )
-def test_error_message_is_place_and_problem(tmp_path: Path, text: str, place: str, problem: str) -> None:
+def test_error_message_consists_of_location_and_problem(
+    tmp_path: Path, text: str, location: str, problem: str
+) -> None:
     with pytest.raises(ConfigError) as caught:
         load(environ(tmp_path, text))
-    assert (caught.value.place, caught.value.problem) == (place, problem)
-    assert str(caught.value) == f"{place}: {problem}"
+    assert (caught.value.location, caught.value.problem) == (location, problem)
+    assert str(caught.value) == f"{location}: {problem}"
 
 
 def test_rejects_environment_without_configuration(tmp_path: Path) -> None:
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -15,7 +15,7 @@
 
 from alderspool.program.app import run
 from alderspool.program.config import load
-from alderspool.program.signals import HANDLED_SIGNALS, EarlySignals
+from alderspool.program.signals import HANDLED_SIGNALS, StartupSignals
 from alderspool.transport.listener import Listener
 
 POLL_INTERVAL_S = 0.005
@@ -61,26 +61,26 @@
 
 
 @pytest.fixture
-def early_signals() -> Iterator[EarlySignals]:
+def startup_signals() -> Iterator[StartupSignals]:
     """Record signals of this process, and restore its handlers after the test."""
     previous_handlers = {number: signal.getsignal(number) for number in HANDLED_SIGNALS}
-    yield EarlySignals()
+    yield StartupSignals()
     for number, handler in previous_handlers.items():
         signal.signal(number, handler)
 
 
-def test_replays_each_early_signal_once_in_the_order_of_the_actions(early_signals: EarlySignals) -> None:
+def test_replays_each_early_signal_once_in_the_order_of_the_actions(startup_signals: StartupSignals) -> None:
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
         os.kill(os.getpid(), number)
     handled: list[int] = []
     actions = {number: partial(handled.append, number) for number in HANDLED_SIGNALS}
-    early_signals.replay(actions)
-    early_signals.replay(actions)
+    startup_signals.replay(actions)
+    startup_signals.replay(actions)
     assert handled == [signal.SIGHUP, signal.SIGTERM]  # the reload first, then the end
 
 
 def test_accepts_nothing_where_sigterm_came_before_it_serves(
-    early_signals: EarlySignals, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    startup_signals: StartupSignals, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     doc = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1", "settings": SETTINGS}
     (tmp_path / "config.json").write_text(json.dumps(doc))
@@ -88,7 +88,7 @@
     monkeypatch.setattr(Listener, "bind", lambda listener, host, port: None)
     monkeypatch.setattr(Listener, "start_accepting", accepting.append)
     os.kill(os.getpid(), signal.SIGTERM)
-    run(load({"BALANCER_CONFIG": str(tmp_path / "config.json")}), early_signals)
+    run(load({"BALANCER_CONFIG": str(tmp_path / "config.json")}), startup_signals)
     assert accepting == []
 
 
