--- a/alderspool/program/graceful_shutdown.py
+++ b/alderspool/program/graceful_shutdown.py
@@ -32,7 +32,8 @@
 SIGKILL_MARGIN_S = 0.25
 # If the longest deadline is short, the margin is at most this share of it.
 SIGKILL_MARGIN_MAX_SHARE = 0.25
-# Time limit for sending the last responses; connections whose clients have not read theirs by then are aborted.
+# Time limit for sending the last responses. After it, connections of clients that have not read theirs are
+# aborted.
 FLUSH_TIMEOUT_S = 3.0
 CHECK_INTERVAL_S = 0.02
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,7 +1,7 @@
-"""Graceful shutdown: each request accepted before the end has one complete response, whenever it came.
+"""Graceful shutdown: every accepted request gets one complete response, whenever it arrives.
 
-The first part tests the order of the steps and their times without sockets, in virtual time; the second part
-runs the real program.
+The first part tests the order and timing of the steps without sockets, in virtual time; the second part runs
+the real program.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from alderspool.balancer.settings import RequestClass, Settings
 from alderspool.program.graceful_shutdown import CHECK_INTERVAL_S, ShutdownBudget, shut_down
 
-ACCEPT_S = 0.7  # connections are accepted for this long after SIGTERM
+ACCEPT_S = 0.7  # new connections are accepted for this long after SIGTERM
 POLL_INTERVAL_S = 0.005
 
 # ---- without sockets ----------------------------------------------------------------------------
@@ -33,15 +33,15 @@
     ("deadlines_ms", "finish_s"),
     [
         pytest.param([300.0], 0.225, id="margin-is-a-quarter-of-a-short-deadline"),
-        pytest.param([1000.0], 0.75, id="margin-changes-over-at-1-s"),
+        pytest.param([1000.0], 0.75, id="both-margins-are-equal-at-1-s"),
         pytest.param([2000.0], 1.75, id="margin-is-a-quarter-of-a-second"),
-        pytest.param([300.0, 2000.0, 400.0], 1.75, id="longest-class-counts"),
+        pytest.param([300.0, 2000.0, 400.0], 1.75, id="longest-deadline-of-all-classes"),
         pytest.param([3000.0], 2.75, id="at-the-cap"),
         pytest.param([20000.0], 2.75, id="longer-deadline-counts-as-3-s"),
         pytest.param([300.0, 20000.0], 2.75, id="cap-applies-to-the-longest"),
     ],
 )
-def test_budget_of_time_follows_the_longest_deadline(deadlines_ms: list[float], finish_s: float) -> None:
+def test_shutdown_budget_depends_on_the_longest_deadline(deadlines_ms: list[float], finish_s: float) -> None:
     budget = ShutdownBudget.from_settings(settings_with_deadlines(*deadlines_ms))
     assert budget.accept_s == ACCEPT_S
     assert budget.finish_s == pytest.approx(finish_s)
@@ -51,14 +51,14 @@
 
 
 @pytest.mark.parametrize("deadline_ms", [1.0, 300.0, 999.0, 1000.0, 1001.0, 2999.0, 3000.0, 3001.0, 1e9])
-def test_pending_requests_are_failed_before_sigkill_may_come(deadline_ms: float) -> None:
+def test_pending_requests_are_failed_before_the_earliest_sigkill(deadline_ms: float) -> None:
     budget = ShutdownBudget.from_settings(settings_with_deadlines(deadline_ms))
     earliest_sigkill_s = ACCEPT_S + min(deadline_ms / 1000.0, 3.0)
     assert ACCEPT_S < budget.fail_pending_after_s < earliest_sigkill_s
 
 
 class Step(Enum):
-    """What the shutdown calls."""
+    """The methods that the shutdown calls."""
 
     START_DRAINING = "start draining"
     STOP_ACCEPTING = "stop accepting"
@@ -69,10 +69,10 @@
 
 
 class ShutdownRecorder:
-    """Stands for the exchange and the listener; records each first call of a step and when it came.
+    """Fake of the exchange and the listener that records the time of the first call of each method.
 
-    `pending_until_s` and `open_until_s` are when the last request is done and the last connection closed,
-    in seconds of the loop's clock.
+    `pending_until_s` is when the last request gets its response, and `open_until_s` when the last connection
+    is closed, both in seconds of the loop's clock.
     """
 
     def __init__(self, pending_until_s: float = 0.0, open_until_s: float = 0.0) -> None:
@@ -111,7 +111,7 @@
 
 
 class VirtualTimeSelector(selectors.SelectSelector):
-    """Moves its clock on in the place of waiting."""
+    """A selector that advances its clock by the timeout instead of waiting."""
 
     now_s = 0.0
 
@@ -121,7 +121,7 @@
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers fire at once, each at its exact time of a clock that starts at 0."""
+    """An event loop with a virtual clock that starts at 0: timers fire immediately, at their exact times."""
 
     def __init__(self) -> None:
         self._virtual_time = VirtualTimeSelector()
@@ -137,11 +137,11 @@
 
 
 BUDGET = ShutdownBudget(accept_s=0.7, finish_s=2.75, flush_s=3.0)
-HANGS_S = 1e9
+NEVER_S = 1e9
 CLOCK_TOLERANCE_S = 1e-6
 
 
-def test_shutdown_ends_once_connections_stop_being_accepted_where_nothing_is_open() -> None:
+def test_shutdown_ends_as_soon_as_accepting_stops_if_nothing_is_open() -> None:
     recorder = ShutdownRecorder()
     run_in_virtual_time(shut_down(recorder, recorder, BUDGET))
     assert list(recorder.times_s) == [
@@ -155,8 +155,8 @@
     assert recorder.times_s[Step.ABORT_ALL] == recorder.times_s[Step.STOP_ACCEPTING]
 
 
-def test_shutdown_steps_have_their_order_and_deadlines_where_everything_hangs() -> None:
-    recorder = ShutdownRecorder(pending_until_s=HANGS_S, open_until_s=HANGS_S)
+def test_shutdown_steps_run_in_order_and_on_time_if_everything_hangs() -> None:
+    recorder = ShutdownRecorder(pending_until_s=NEVER_S, open_until_s=NEVER_S)
     run_in_virtual_time(shut_down(recorder, recorder, BUDGET))
     assert list(recorder.times_s) == [
         Step.START_DRAINING,
@@ -179,7 +179,7 @@
         pytest.param(1.5, 1.5, id="both"),
     ],
 )
-def test_shutdown_waits_no_longer_than_for_the_last_request_and_connection(
+def test_shutdown_ends_after_the_last_request_and_connection(
     pending_until_s: float, open_until_s: float
 ) -> None:
     recorder = ShutdownRecorder(pending_until_s, open_until_s)
@@ -190,8 +190,8 @@
         assert -CLOCK_TOLERANCE_S <= delay_s <= CHECK_INTERVAL_S + CLOCK_TOLERANCE_S
 
 
-def test_shutdown_waits_for_responses_to_be_sent_after_it_has_failed_the_requests() -> None:
-    recorder = ShutdownRecorder(pending_until_s=HANGS_S, open_until_s=5.0)
+def test_shutdown_waits_for_the_responses_of_failed_requests_to_be_sent() -> None:
+    recorder = ShutdownRecorder(pending_until_s=NEVER_S, open_until_s=5.0)
     run_in_virtual_time(shut_down(recorder, recorder, BUDGET))
     assert recorder.times_s[Step.FAIL_PENDING] == pytest.approx(
         3.45, abs=CHECK_INTERVAL_S + CLOCK_TOLERANCE_S
@@ -219,46 +219,46 @@
 
 @real
 @pytest.mark.parametrize("longest_deadline_ms", [300.0, 2000.0, 20000.0])
-async def test_responds_before_sigkill_may_come_where_the_endpoint_hangs(longest_deadline_ms: float) -> None:
-    """One request before SIGTERM and one while connections are still accepted, at an endpoint that hangs.
+async def test_responds_before_the_earliest_sigkill_if_the_endpoint_hangs(longest_deadline_ms: float) -> None:
+    """One request arrives before SIGTERM and one while connections are still accepted; the endpoint hangs.
 
-    Both have time left beyond the end of the shutdown; a longer deadline counts as 3 s.
+    The deadlines of both requests are after the end of the shutdown. The shutdown waits for the longest
+    deadline of the classes, but for no more than 3 s.
     """
     classes = [SETTINGS["classes"][1] | {"deadline_ms": longest_deadline_ms}]
-    counted_deadline_s = min(longest_deadline_ms, 3000.0) / 1000.0
+    effective_deadline_s = min(longest_deadline_ms, 3000.0) / 1000.0
     async with Rig(Party("s1", None), settings={"classes": classes}) as rig:
-        before = await rig.connect(request("pay", 60000))
+        before_sigterm = await rig.connect(request("pay", 60000))
         while not rig.endpoints[0].got:
             await asyncio.sleep(POLL_INTERVAL_S)
         sent_at_s = await start_shutdown(rig)
-        within = await rig.connect(request("pay", 60000))
-        for reader, _ in (before, within):
-            assert await status_of(reader) == 504  # it may have run: no rejection
+        while_accepting = await rig.connect(request("pay", 60000))
+        for reader, _ in (before_sigterm, while_accepting):
+            assert await status_of(reader) == 504  # not rejected, as it may have run
         duration_s = time.monotonic() - sent_at_s
-        assert duration_s > ACCEPT_S + 0.5 * counted_deadline_s  # not sooner than needed
-        assert duration_s < ACCEPT_S + counted_deadline_s + 0.5  # and what a busy host adds
+        assert duration_s > ACCEPT_S + 0.5 * effective_deadline_s  # not earlier than necessary
+        assert duration_s < ACCEPT_S + effective_deadline_s + 0.5  # 0.5 s for a slow host
         assert await rig.proxy.wait() == 0
 
 
 @real
-async def test_accepts_and_serves_what_waits_in_the_accept_queue_as_it_stops_accepting() -> None:
-    """The proxy is stopped until it should have stopped accepting.
+async def test_serves_connections_in_the_accept_queue_when_it_stops_accepting() -> None:
+    """The proxy is paused by SIGSTOP until it is due to stop accepting.
 
-    Meanwhile the kernel accepts connections for it, some with a complete request, some with half of one.
+    Meanwhile the kernel queues connections for it, some with a complete request, some with half of one.
     """
     async with Rig(Party("s1"), Party("s2")) as rig:
         sent_at_s = await start_shutdown(rig)
         rig.proxy.send_signal(signal.SIGSTOP)
-        complete = [await rig.connect(request("pay")) for _ in range(20)]
-        halves = [await rig.connect(request("pay")[:40]) for _ in range(5)]
+        complete_connections = [await rig.connect(request("pay")) for _ in range(20)]
+        partial_connections = [await rig.connect(request("pay")[:40]) for _ in range(5)]
         await asyncio.sleep(sent_at_s + ACCEPT_S + 0.1 - time.monotonic())
         rig.proxy.send_signal(signal.SIGCONT)
-        assert [await status_of(reader) for reader, _ in complete] == [200] * 20
-        for _, writer in halves:
-            writer.write(
-                request("pay")[40:]
-            )  # of another request: only its id differs, which does not matter
-        assert [await status_of(reader) for reader, _ in halves] == [200] * 5
+        assert [await status_of(reader) for reader, _ in complete_connections] == [200] * 20
+        for _, writer in partial_connections:
+            # The rest of another request, which differs only in the id; any id will do.
+            writer.write(request("pay")[40:])
+        assert [await status_of(reader) for reader, _ in partial_connections] == [200] * 5
         assert await rig.proxy.wait() == 0
 
 
@@ -299,12 +299,15 @@
 
 
 @real
-async def test_reads_what_came_while_the_proxy_was_paused_before_the_idle_timeout_closes() -> None:
-    """Half a request was read; its rest comes while the proxy is stopped for longer than its idle timeout."""
+async def test_reads_input_received_during_a_pause_before_applying_the_idle_timeout() -> None:
+    """The proxy has read half a request; the rest arrives while SIGSTOP pauses the proxy.
+
+    The pause is longer than the idle timeout.
+    """
     async with Rig(Party("s1")) as rig:
         sent = request("pay")
         reader, writer = await rig.connect(sent[:40])
-        assert await rig.ready()  # by now the half is read
+        assert await rig.ready()  # by now the proxy has read the half
         rig.proxy.send_signal(signal.SIGSTOP)
         writer.write(sent[40:])
         await asyncio.sleep(2.5)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""Configuration and command line: an unusable configuration is reported in one line that names its key."""
+"""Configuration and command line: an invalid configuration is reported in one line that contains its key."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 ENDPOINT = {"name": "s1", "address": "127.0.0.1:80", "status": "ready"}
 
 
-def environ(tmp_path: Path, text: str) -> dict[str, str]:
-    """Return the environment of a proxy whose configuration file has this text."""
+def write_config(tmp_path: Path, text: str) -> dict[str, str]:
+    """Write the configuration file, and return environment variables that refer to it."""
     (tmp_path / "config.json").write_bytes(text.encode(errors="surrogateescape"))
     return {"BALANCER_CONFIG": str(tmp_path / "config.json")}
 
 
-def test_flattens_settings_as_the_wire_writes_them() -> None:
+def test_flattens_settings_to_the_format_of_the_wire() -> None:
     nested = {
         "a": {"b": True, "c": 1000.0, "d": None},
         "list": ["x y", "p,q"],
@@ -55,7 +55,7 @@
 
 
 def test_environment_takes_precedence_over_the_file(tmp_path: Path) -> None:
-    variables = environ(tmp_path, json.dumps(DOC))
+    variables = write_config(tmp_path, json.dumps(DOC))
     variables |= {"BALANCER_LISTEN": "127.0.0.9:99", "BALANCER_NAME": "n7"}
     config = load(variables)
     assert config.name == "n7"
@@ -67,31 +67,33 @@
 
 
 def test_discovery_address_of_the_file_takes_precedence_on_reload(tmp_path: Path) -> None:
-    variables = environ(tmp_path, json.dumps(DOC)) | {"BALANCER_DISCOVERY": "127.0.0.7:7"}
+    variables = write_config(tmp_path, json.dumps(DOC)) | {"BALANCER_DISCOVERY": "127.0.0.7:7"}
     assert load(variables).discovery == ("127.0.0.7", 7)
     assert load_for_reload(variables).discovery == ("127.0.0.2", 8500)
-    variables |= environ(tmp_path, json.dumps(DOC | {"discovery": ""}))
+    variables |= write_config(tmp_path, json.dumps(DOC | {"discovery": ""}))
     assert load_for_reload(variables).discovery == ("127.0.0.7", 7)
 
 
-def changed(**keys: object) -> str:
-    """Return the text of a configuration file in which these keys differ."""
+def config_text(**keys: object) -> str:
+    """Return the text of a configuration file with these keys replaced."""
     return json.dumps(DOC | keys)
 
 
-UNUSABLE_FILES = [
+INVALID_FILES = [
     pytest.param("{", "BALANCER_CONFIG", id="incomplete"),
-    pytest.param("[]", "BALANCER_CONFIG", id="no-object"),
-    pytest.param(changed(seed=5), "seed", id="seed-a-number"),
-    pytest.param(changed(seed="xyz"), "seed", id="seed-not-hexadecimal"),
-    pytest.param(changed(listen="nowhere"), "BALANCER_LISTEN", id="listen-no-address"),
+    pytest.param("[]", "BALANCER_CONFIG", id="not-an-object"),
+    pytest.param(config_text(seed=5), "seed", id="seed-not-a-string"),
+    pytest.param(config_text(seed="xyz"), "seed", id="seed-not-hexadecimal"),
+    pytest.param(config_text(listen="nowhere"), "BALANCER_LISTEN", id="listen-not-an-address"),
     pytest.param("\udcff", "BALANCER_CONFIG", id="not-utf-8"),
-    pytest.param(changed(discovery="10.0.0.1:0"), "BALANCER_DISCOVERY", id="discovery-port-0"),
-    pytest.param(changed(limits={"sockets": "many"}), "limits.sockets", id="sockets-a-text"),
-    pytest.param(changed(limits={"sockets": 3}), "limits.sockets", id="sockets-too-few"),
-    pytest.param(changed(known={"index": 1}), "known", id="known-incomplete"),
-    pytest.param(changed(settings=SETTINGS | {"zone": "left"}), "zone", id="zone-not-a-number"),
-    pytest.param(changed(settings={"classes": [{"name": "x"}]}), "classes.0.slo_ms", id="class-without-slo"),
+    pytest.param(config_text(discovery="10.0.0.1:0"), "BALANCER_DISCOVERY", id="discovery-port-0"),
+    pytest.param(config_text(limits={"sockets": "many"}), "limits.sockets", id="sockets-not-a-number"),
+    pytest.param(config_text(limits={"sockets": 3}), "limits.sockets", id="sockets-too-few"),
+    pytest.param(config_text(known={"index": 1}), "known", id="known-incomplete"),
+    pytest.param(config_text(settings=SETTINGS | {"zone": "left"}), "zone", id="zone-not-a-number"),
+    pytest.param(
+        config_text(settings={"classes": [{"name": "x"}]}), "classes.0.slo_ms", id="class-without-slo"
+    ),
     pytest.param(
         json.dumps({key: value for key, value in DOC.items() if key != "settings"}),
         "settings",
@@ -100,9 +102,9 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "key"), UNUSABLE_FILES)
-def test_reports_unusable_configuration_in_one_line_with_its_key(tmp_path: Path, text: str, key: str) -> None:
-    variables = environ(tmp_path, text)
+@pytest.mark.parametrize(("text", "key"), INVALID_FILES)
+def test_reports_invalid_configuration_in_one_line_with_its_key(tmp_path: Path, text: str, key: str) -> None:
+    variables = write_config(tmp_path, text)
     with pytest.raises(ConfigError, match=key):
         load(variables)
     for command in ("serve", "check-config"):
@@ -115,12 +117,12 @@
 @pytest.mark.parametrize(
     ("text", "location", "problem"),
     [
-        pytest.param(changed(seed="xyz"), "seed", "not hexadecimal: 'xyz'", id="seed"),
+        pytest.param(config_text(seed="xyz"), "seed", "not hexadecimal: 'xyz'", id="seed"),
         pytest.param(
-            changed(limits={"sockets": 3}), "limits.sockets", "below the minimum of 64: 3", id="limits"
+            config_text(limits={"sockets": 3}), "limits.sockets", "below the minimum of 64: 3", id="limits"
         ),
         pytest.param(
-            changed(settings=SETTINGS | {"zone": "left"}),
+            config_text(settings=SETTINGS | {"zone": "left"}),
             "settings.zone",
             "not a number: 'left'",
             id="settings",
@@ -131,7 +133,7 @@
     tmp_path: Path, text: str, location: str, problem: str
 ) -> None:
     with pytest.raises(ConfigError) as caught:
-        load(environ(tmp_path, text))
+        load(write_config(tmp_path, text))
     assert (caught.value.location, caught.value.problem) == (location, problem)
     assert str(caught.value) == f"{location}: {problem}"
 
@@ -143,7 +145,7 @@
 
 
 def test_prints_version_and_configuration(tmp_path: Path) -> None:
-    variables = environ(tmp_path, json.dumps(DOC))
+    variables = write_config(tmp_path, json.dumps(DOC))
     assert CliRunner().invoke(main, ["version"]).output.startswith("alderspool ")
     result = CliRunner(env=variables).invoke(main, ["check-config"])
     assert result.exit_code == 0
@@ -152,7 +154,7 @@
 
 def test_check_config_prints_its_fixed_line(tmp_path: Path) -> None:
     known = {"index": 1, "snapshot": True, "endpoints": [ENDPOINT]}
-    variables = environ(tmp_path, changed(known=known))
+    variables = write_config(tmp_path, config_text(known=known))
     result = CliRunner(env=variables).invoke(main, ["check-config"])
     assert result.output == (
         "n1: listens at 127.0.0.1:3000, discovery at 127.0.0.2:8500,"
@@ -160,11 +162,11 @@
     )
 
 
-def test_names_an_address_that_cannot_be_bound(tmp_path: Path) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as taken:
-        listen = f"127.0.0.1:{taken.getsockname()[1]}"
-        variables = environ(tmp_path, changed(listen=listen, discovery="127.0.0.1:9"))
-        done = subprocess.run(
+def test_reports_a_listen_address_that_cannot_be_bound(tmp_path: Path) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as other_listener:
+        listen = f"127.0.0.1:{other_listener.getsockname()[1]}"
+        variables = write_config(tmp_path, config_text(listen=listen, discovery="127.0.0.1:9"))
+        process = subprocess.run(
             [sys.executable, "-m", "alderspool", "serve"],
             check=False,
             env=os.environ | variables,
@@ -172,6 +174,6 @@
             text=True,
             timeout=30,
         )
-    assert done.returncode == 2
-    (line,) = done.stderr.splitlines()
+    assert process.returncode == 2
+    (line,) = process.stderr.splitlines()
     assert "BALANCER_LISTEN" in line
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals at any moment, repeated and in any order: none ends the program abnormally, none is lost."""
+"""Signals sent at any time, repeatedly and in any order: none crashes the program, and none is lost."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 def config_with_discovery_at(rig: Rig, discovery: Party) -> str:
-    """Return the text of the rig's configuration file, with another discovery."""
+    """Return the text of the rig's configuration file with the address of another discovery server."""
     return json.dumps(rig.config | {"discovery": f"127.0.0.1:{discovery.port}"})
 
 
 @real
 async def test_sighup_while_loading_neither_ends_the_program_nor_is_lost() -> None:
-    """SIGHUP comes every few ms from the first moment of the program until it serves.
+    """SIGHUP is sent every few milliseconds from the start of the program until it serves.
 
-    With the first of them the new file is there. Whether the program read its file before or after that, in
-    the end it uses the new discovery.
+    The new configuration file is in place before the first SIGHUP. Whether the program read its configuration
+    before or after that, it has to use the new discovery address in the end.
     """
     new_discovery = Party("discovery-2", None)
     await new_discovery.start()
@@ -62,34 +62,36 @@
 
 @pytest.fixture
 def startup_signals() -> Iterator[StartupSignals]:
-    """Record signals of this process, and restore its handlers after the test."""
+    """Record the signals sent to this process, and restore the previous handlers after the test."""
     previous_handlers = {number: signal.getsignal(number) for number in HANDLED_SIGNALS}
     yield StartupSignals()
     for number, handler in previous_handlers.items():
         signal.signal(number, handler)
 
 
-def test_replays_each_early_signal_once_in_the_order_of_the_actions(startup_signals: StartupSignals) -> None:
+def test_replays_each_startup_signal_once_in_the_order_of_the_handlers(
+    startup_signals: StartupSignals,
+) -> None:
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGHUP):
         os.kill(os.getpid(), number)
     handled: list[int] = []
-    actions = {number: partial(handled.append, number) for number in HANDLED_SIGNALS}
-    startup_signals.replay(actions)
-    startup_signals.replay(actions)
-    assert handled == [signal.SIGHUP, signal.SIGTERM]  # the reload first, then the end
+    handlers = {number: partial(handled.append, number) for number in HANDLED_SIGNALS}
+    startup_signals.replay(handlers)
+    startup_signals.replay(handlers)
+    assert handled == [signal.SIGHUP, signal.SIGTERM]  # the reload comes before the shutdown
 
 
-def test_accepts_nothing_where_sigterm_came_before_it_serves(
+def test_accepts_nothing_if_sigterm_arrived_during_start_up(
     startup_signals: StartupSignals, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     doc = {"listen": "127.0.0.1:9", "discovery": "127.0.0.1:9", "seed": "1", "settings": SETTINGS}
     (tmp_path / "config.json").write_text(json.dumps(doc))
-    accepting: list[Listener] = []
+    accepting_listeners: list[Listener] = []
     monkeypatch.setattr(Listener, "bind", lambda listener, host, port: None)
-    monkeypatch.setattr(Listener, "start_accepting", accepting.append)
+    monkeypatch.setattr(Listener, "start_accepting", accepting_listeners.append)
     os.kill(os.getpid(), signal.SIGTERM)
     run(load({"BALANCER_CONFIG": str(tmp_path / "config.json")}), startup_signals)
-    assert accepting == []
+    assert accepting_listeners == []
 
 
 @real
@@ -106,12 +108,15 @@
 )
 @pytest.mark.parametrize(
     "file_length",
-    [pytest.param(200, id="incomplete-file"), pytest.param(None, id="file-moves-discovery")],
+    [pytest.param(200, id="incomplete-file"), pytest.param(None, id="new-discovery-address")],
 )
 async def test_loses_no_request_to_signals_while_draining(
     numbers: tuple[signal.Signals, ...], file_length: int | None
 ) -> None:
-    """A request is at an endpoint; SIGHUP finds an incomplete file, or one that moves discovery."""
+    """The signals arrive while a request is pending.
+
+    SIGHUP finds an incomplete configuration file, or one with a new discovery address.
+    """
     release = asyncio.Event()
 
     async def respond_when_released(party: Party) -> bytes:
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire against the examples of its page, its errors, and the adapter that serves it."""
+"""The simulator's wire protocol: the examples of its specification, its errors, and the adapter."""
 
 from __future__ import annotations
 
@@ -104,22 +104,22 @@
 ]
 
 
-@pytest.mark.parametrize(("text", "event"), EVENTS)
-def test_decodes_the_event_examples_of_the_page(text: str, event: object) -> None:
-    assert decode_batch(bytes.fromhex(text), 1) == [(INSTANCE, event)]
+@pytest.mark.parametrize(("hex_text", "event"), EVENTS)
+def test_decodes_the_event_examples_of_the_specification(hex_text: str, event: object) -> None:
+    assert decode_batch(bytes.fromhex(hex_text), 1) == [(INSTANCE, event)]
 
 
-@pytest.mark.parametrize(("action", "text"), ACTIONS)
-def test_encodes_the_action_examples_of_the_page(action: Action, text: str) -> None:
-    assert encode_action(INSTANCE, action) == bytes.fromhex(text)
+@pytest.mark.parametrize(("action", "hex_text"), ACTIONS)
+def test_encodes_the_action_examples_of_the_specification(action: Action, hex_text: str) -> None:
+    assert encode_action(INSTANCE, action) == bytes.fromhex(hex_text)
 
 
-def test_encodes_the_decision_failure_example_of_the_page() -> None:
+def test_encodes_the_balancer_failure_example_of_the_specification() -> None:
     expected = bytes.fromhex("19 03000000 1200 696e646578206f7574206f662072616e6765")
     assert encode_balancer_failure(INSTANCE, "index out of range") == expected
 
 
-def test_decodes_the_batch_example_of_the_page() -> None:
+def test_decodes_the_batch_example_of_the_specification() -> None:
     header = decode_batch_header(BATCH[:BATCH_HEADER_SIZE])
     assert header == BatchHeader(now_ms=8412.25, body_length=62, record_count=3, batch_number=12)
     events = decode_batch(BATCH[BATCH_HEADER_SIZE:], header.record_count)
@@ -127,8 +127,8 @@
     assert events[2][1] == ClientDisconnected(0x0E6F2B19)
 
 
-def test_encodes_the_reply_example_of_the_page() -> None:
-    text = (
+def test_encodes_the_reply_example_of_the_specification() -> None:
+    hex_text = (
         "44000000 03000000 0c000000 10 03000000 c4913a5d 0a124a07 c32b 0000000000005440"
         "14 03000000 4d00000000000000 0000000000407f40 18 05000000 1100 74776f2073657276657273206b6e6f776e"
     )
@@ -137,7 +137,7 @@
         encode_action(INSTANCE, SetTimer(77, 500.0)),
         encode_action(InstanceId(5), Log("two servers known")),
     ]
-    assert encode_reply(records, 12) == bytes.fromhex(text)
+    assert encode_reply(records, 12) == bytes.fromhex(hex_text)
 
 
 def test_decodes_load_report_values_and_request_flag_bits() -> None:
@@ -164,7 +164,7 @@
         (bytes.fromhex("15 03000000 0200 0500 68692037"), 1, "5 bytes do not fit"),
     ],
 )
-def test_reports_record_and_offset_of_an_unreadable_batch(body: bytes, count: int, message: str) -> None:
+def test_reports_record_and_offset_of_a_malformed_batch(body: bytes, count: int, message: str) -> None:
     with pytest.raises(WireError, match=message):
         decode_batch(body, count)
 
@@ -191,18 +191,18 @@
         (OPTIONS + BUDGET.replace("rules.budget_free=2\n", ""), "rules.budget_free: missing"),
     ],
 )
-def test_rejects_unusable_settings_naming_the_key(options: str, message: str) -> None:
+def test_rejects_invalid_settings_with_the_key_in_the_message(options: str, message: str) -> None:
     with pytest.raises(SettingsError, match=message):
         read_settings(parse_options(options))
 
 
-def test_reads_optional_rules_and_leaves_them_off_where_absent() -> None:
-    further = (
+def test_reads_optional_settings_and_uses_defaults_for_absent_ones() -> None:
+    optional_settings = (
         "classes.0.keep_order=true\nrules.key_rest_ms=50.0\nrules.full_may_have_run=true\nweights=live\n"
         "result_mix.log_loss_part=0.4\nresult_mix.nines_wanted=2.0\n"
     )
     off = read_settings(parse_options(OPTIONS))
-    on = read_settings(parse_options(OPTIONS + BUDGET + further))
+    on = read_settings(parse_options(OPTIONS + BUDGET + optional_settings))
     assert (off.classes[0].ordered_by_key, off.rejected_may_have_run, off.key_quiesce_ms) == (
         False,
         False,
@@ -216,19 +216,19 @@
 
 
 def _enlist(instance: int, options: str = OPTIONS) -> bytes:
-    raw = options.encode()
+    encoded_options = options.encode()
     return (
         b"\x19"
         + instance.to_bytes(4, "little")
         + (9).to_bytes(8, "little")
-        + len(raw).to_bytes(4, "little")
-        + raw
+        + len(encoded_options).to_bytes(4, "little")
+        + encoded_options
     )
 
 
-def _batch(number: int, *records: bytes) -> bytes:
+def _batch(batch_number: int, *records: bytes) -> bytes:
     body = b"".join(records)
-    return encode_batch_header(BatchHeader(5.0, len(body), len(records), number)) + body
+    return encode_batch_header(BatchHeader(5.0, len(body), len(records), batch_number)) + body
 
 
 def _read_replies(data: bytes) -> tuple[list[ReplyHeader], list[bytes]]:
@@ -248,13 +248,13 @@
     request = bytes.fromhex(
         "10 03000000 c4913a5d 0000000000000000 0000000000006e40 0000 00 00000000 0000000000000000"
     )
-    cached = bytes.fromhex("12 03000000 02 01000000 01000000 0a124a07 c32b 0000803f 0000") + bytes(12)
+    cached_list = bytes.fromhex("12 03000000 02 01000000 01000000 0a124a07 c32b 0000803f 0000") + bytes(12)
     source = io.BytesIO(
         _batch(1)
-        + _batch(2, _enlist(3), cached, request)
+        + _batch(2, _enlist(3), cached_list, request)
         + _batch(3, b"\x14\x03\x00\x00\x00")
-        + _batch(4, request)  # no instance: ignored
-        + _batch(5, _enlist(3), cached, request)
+        + _batch(4, request)  # the instance has been killed: ignored
+        + _batch(5, _enlist(3), cached_list, request)
     )
     sink = io.BytesIO()
     adapter.serve(source, sink)
@@ -282,19 +282,19 @@
         (b"abc", "input ends inside a batch header"),
     ],
 )
-def test_adapter_exits_with_one_error_line_on_unreadable_input(data: bytes, message: str) -> None:
-    done = subprocess.run(
+def test_adapter_exits_with_one_error_line_on_malformed_input(data: bytes, message: str) -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "alderspool.simulator.adapter"], input=data, capture_output=True, check=False
     )
-    assert done.returncode == 2
-    assert done.stderr.decode().count("\n") == 1 and message in done.stderr.decode()
+    assert process.returncode == 2
+    assert process.stderr.decode().count("\n") == 1 and message in process.stderr.decode()
 
 
 def test_adapter_exits_cleanly_at_end_of_input() -> None:
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "alderspool.simulator.adapter"],
         input=_batch(1),
         capture_output=True,
         check=False,
     )
-    assert (done.returncode, done.stderr, len(done.stdout)) == (0, b"", 12)
+    assert (process.returncode, process.stderr, len(process.stdout)) == (0, b"", 12)
