--- a/alderspool/simulator/action_records.py
+++ b/alderspool/simulator/action_records.py
@@ -77,50 +77,50 @@
 _pack_read_list = Struct("<BI").pack
 
 
-def _encode_send(instance: InstanceId, action: Send) -> bytes:
-    return _pack_place(_PLACE, instance, action.id, action.endpoint, action.timeout_ms)
+def _encode_send(instance_id: InstanceId, action: Send) -> bytes:
+    return _pack_place(_PLACE, instance_id, action.id, action.endpoint, action.timeout_ms)
 
 
-def _encode_reject(instance: InstanceId, action: Reject) -> bytes:
-    return _pack_bounce(_BOUNCE, instance, action.id, action.retry_after_ms)
+def _encode_reject(instance_id: InstanceId, action: Reject) -> bytes:
+    return _pack_bounce(_BOUNCE, instance_id, action.id, action.retry_after_ms)
 
 
-def _encode_fail(instance: InstanceId, action: Fail) -> bytes:
-    return _pack_drop_request(_DROP_REQUEST, instance, action.id)
+def _encode_fail(instance_id: InstanceId, action: Fail) -> bytes:
+    return _pack_drop_request(_DROP_REQUEST, instance_id, action.id)
 
 
-def _encode_cancel(instance: InstanceId, action: Cancel) -> bytes:
-    return _pack_undo_send(_UNDO_SEND, instance, action.id, action.attempt)
+def _encode_cancel(instance_id: InstanceId, action: Cancel) -> bytes:
+    return _pack_undo_send(_UNDO_SEND, instance_id, action.id, action.attempt)
 
 
-def _encode_set_timer(instance: InstanceId, action: SetTimer) -> bytes:
-    return _pack_defer(_DEFER, instance, action.token, action.delay_ms)
+def _encode_set_timer(instance_id: InstanceId, action: SetTimer) -> bytes:
+    return _pack_defer(_DEFER, instance_id, action.token, action.delay_ms)
 
 
-def _encode_check_health(instance: InstanceId, action: CheckHealth) -> bytes:
-    return _pack_ask_load(_ASK_LOAD, instance, action.endpoint)
+def _encode_check_health(instance_id: InstanceId, action: CheckHealth) -> bytes:
+    return _pack_ask_load(_ASK_LOAD, instance_id, action.endpoint)
 
 
-def _encode_close_idle(instance: InstanceId, action: CloseIdle) -> bytes:
-    return _pack_close_idle(_CLOSE_IDLE, instance, action.endpoint)
+def _encode_close_idle(instance_id: InstanceId, action: CloseIdle) -> bytes:
+    return _pack_close_idle(_CLOSE_IDLE, instance_id, action.endpoint)
 
 
-def _encode_send_to_peer(instance: InstanceId, action: SendToPeer) -> bytes:
+def _encode_send_to_peer(instance_id: InstanceId, action: SendToPeer) -> bytes:
     peer = _ALL_PEERS if action.peer is None else action.peer
-    return _pack_write_peer(_WRITE_PEER, instance, peer, len(action.data)) + action.data
+    return _pack_write_peer(_WRITE_PEER, instance_id, peer, len(action.data)) + action.data
 
 
-def _encode_log(instance: InstanceId, action: Log) -> bytes:
+def _encode_log(instance_id: InstanceId, action: Log) -> bytes:
     text = _encode_text(action.text)
-    return _pack_emit(_EMIT, instance, len(text)) + text
+    return _pack_emit(_EMIT, instance_id, len(text)) + text
 
 
-def _encode_watch(instance: InstanceId, action: Watch) -> bytes:
-    return _pack_watch(_WATCH, instance, 1 if action.on else 0)
+def _encode_watch(instance_id: InstanceId, action: Watch) -> bytes:
+    return _pack_watch(_WATCH, instance_id, 1 if action.on else 0)
 
 
-def _encode_fetch_list(instance: InstanceId, action: FetchList) -> bytes:
-    return _pack_read_list(_READ_LIST, instance)
+def _encode_fetch_list(instance_id: InstanceId, action: FetchList) -> bytes:
+    return _pack_read_list(_READ_LIST, instance_id)
 
 
 def _encode_text(text: str) -> bytes:
@@ -143,12 +143,12 @@
 }
 
 
-def encode_action(instance: InstanceId, action: Action) -> bytes:
+def encode_action(instance_id: InstanceId, action: Action) -> bytes:
     """Encode an action of an instance as a record."""
-    return _ENCODERS[type(action)](instance, action)
+    return _ENCODERS[type(action)](instance_id, action)
 
 
-def encode_balancer_failure(instance: InstanceId, text: str) -> bytes:
+def encode_balancer_failure(instance_id: InstanceId, text: str) -> bytes:
     """Encode that the balancer of an instance has raised an exception, which ends the simulation."""
     encoded = _encode_text(text)
-    return _pack_bug(_BUG, instance, len(encoded)) + encoded
+    return _pack_bug(_BUG, instance_id, len(encoded)) + encoded
--- a/alderspool/simulator/adapter.py
+++ b/alderspool/simulator/adapter.py
@@ -66,19 +66,19 @@
     """Pass the events of a batch to their Balancers, and return the resulting actions as encoded records."""
     now_ms = header.now_ms
     records = []
-    for instance, event in wire.decode_batch(body, header.record_count):
+    for instance_id, event in wire.decode_batch(body, header.record_count):
         if isinstance(event, InstanceStarted):
-            balancer = balancers[instance] = Balancer(event.settings, event.seed)
+            balancer = balancers[instance_id] = Balancer(event.settings, event.seed)
             actions = balancer.start(now_ms)
         elif isinstance(event, InstanceKilled):
-            balancers.pop(instance, None)
+            balancers.pop(instance_id, None)
             continue
-        elif instance in balancers:
-            actions = balancers[instance].handle(now_ms, event)
+        elif instance_id in balancers:
+            actions = balancers[instance_id].handle(now_ms, event)
         else:  # the instance has been killed: its events are ignored
             continue
         for action in actions:
-            records.append(encode_action(instance, action))
+            records.append(encode_action(instance_id, action))
     return records
 
 
--- a/alderspool/simulator/event_records.py
+++ b/alderspool/simulator/event_records.py
@@ -43,7 +43,7 @@
     ENLIST = 25  # InstanceStarted
 
 
-# Instance, event, and offset of the next record. A plain tuple because one is created for each record:
+# Instance id, event, and offset of the next record. A plain tuple because one is created for each record:
 # decoding to a NamedTuple took 1.3 times the CPU time.
 DecodedRecord = tuple[InstanceId, InstanceEvent, int]
 EventDecoder = Callable[[bytes, int], DecodedRecord]
@@ -95,22 +95,22 @@
 
 
 def _decode_order(body: bytes, offset: int) -> DecodedRecord:
-    instance, request, key, time_left_ms, request_class, attributes, tenant, raw_cost_hint_ms = _unpack_order(
-        body, offset
+    instance_id, request_id, key, time_left_ms, request_class, attributes, tenant, raw_cost_hint_ms = (
+        _unpack_order(body, offset)
     )
     cost_hint_ms = raw_cost_hint_ms if attributes & _COST_HINT_VALID else 0.0
     is_retry = attributes & _CLIENT_RETRY != 0
-    event = Request(request, time_left_ms, request_class, tenant, key, cost_hint_ms, is_retry)
-    return instance, event, offset + _ORDER_SIZE
+    event = Request(request_id, time_left_ms, request_class, tenant, key, cost_hint_ms, is_retry)
+    return instance_id, event, offset + _ORDER_SIZE
 
 
 def _decode_abandoned(body: bytes, offset: int) -> DecodedRecord:
-    instance, request = _unpack_abandoned(body, offset)
-    return instance, ClientDisconnected(request), offset + _ABANDONED_SIZE
+    instance_id, request_id = _unpack_abandoned(body, offset)
+    return instance_id, ClientDisconnected(request_id), offset + _ABANDONED_SIZE
 
 
 def _decode_announce(body: bytes, offset: int) -> DecodedRecord:
-    instance, mode, revision, count = _unpack_announce(body, offset)
+    instance_id, mode, revision, count = _unpack_announce(body, offset)
     offset += _ANNOUNCE_SIZE
     if count * _ENDPOINT_ENTRY_SIZE > len(body) - offset:
         raise WireError(f"{count} list entries do not fit into the batch")
@@ -119,56 +119,56 @@
         EndpointEntry(*_unpack_endpoint_entry(body, entry_offset))
         for entry_offset in range(offset, end, _ENDPOINT_ENTRY_SIZE)
     ]
-    return instance, EndpointListUpdate(mode, entries, revision), end
+    return instance_id, EndpointListUpdate(mode, entries, revision), end
 
 
 def _decode_headers(body: bytes, offset: int) -> DecodedRecord:
-    instance, request, attempt, endpoint, latency_ms = _unpack_headers(body, offset)
-    event = ResponseStarted(request, attempt, endpoint, latency_ms)
-    return instance, event, offset + _HEADERS_SIZE
+    instance_id, request_id, attempt, endpoint, latency_ms = _unpack_headers(body, offset)
+    event = ResponseStarted(request_id, attempt, endpoint, latency_ms)
+    return instance_id, event, offset + _HEADERS_SIZE
 
 
 def _decode_killed(body: bytes, offset: int) -> DecodedRecord:
-    (instance,) = _unpack_killed(body, offset)
-    return instance, InstanceKilled(), offset + _KILLED_SIZE
+    (instance_id,) = _unpack_killed(body, offset)
+    return instance_id, InstanceKilled(), offset + _KILLED_SIZE
 
 
 def _decode_memo(body: bytes, offset: int) -> DecodedRecord:
-    instance, sender, count = _unpack_memo(body, offset)
+    instance_id, sender, count = _unpack_memo(body, offset)
     offset += _MEMO_SIZE
     event = PeerMessage(sender, _read_bytes(body, offset, count))
-    return instance, event, offset + count
+    return instance_id, event, offset + count
 
 
 def _decode_health(body: bytes, offset: int) -> DecodedRecord:
-    instance, status, endpoint, latency_ms, count = _unpack_health(body, offset)
+    instance_id, status, endpoint, latency_ms, count = _unpack_health(body, offset)
     offset += _HEALTH_SIZE
     report = _unpack_load_report_by_count[count](body, offset) if count else ()
     event = HealthChecked(endpoint, status, latency_ms, report)
-    return instance, event, offset + _LOAD_REPORT_VALUE_SIZE * count
+    return instance_id, event, offset + _LOAD_REPORT_VALUE_SIZE * count
 
 
 def _decode_reminder(body: bytes, offset: int) -> DecodedRecord:
-    instance, token = _unpack_reminder(body, offset)
-    return instance, TimerFired(token), offset + _REMINDER_SIZE
+    instance_id, token = _unpack_reminder(body, offset)
+    return instance_id, TimerFired(token), offset + _REMINDER_SIZE
 
 
 def _decode_report_back(body: bytes, offset: int) -> DecodedRecord:
-    instance, request, attempt, endpoint, status, latency_ms, finished, count = _unpack_report_back(
+    instance_id, request_id, attempt, endpoint, status, latency_ms, finished, count = _unpack_report_back(
         body, offset
     )
     offset += _REPORT_BACK_SIZE
     report = _unpack_load_report_by_count[count](body, offset) if count else ()
-    event = Outcome(request, attempt, endpoint, status, latency_ms, finished != 0, report)
-    return instance, event, offset + _LOAD_REPORT_VALUE_SIZE * count
+    event = Outcome(request_id, attempt, endpoint, status, latency_ms, finished != 0, report)
+    return instance_id, event, offset + _LOAD_REPORT_VALUE_SIZE * count
 
 
 def _decode_enlist(body: bytes, offset: int) -> DecodedRecord:
-    instance, seed, count = _unpack_enlist(body, offset)
+    instance_id, seed, count = _unpack_enlist(body, offset)
     offset += _ENLIST_SIZE
     text = _read_bytes(body, offset, count).decode("utf-8", "replace")
     event = InstanceStarted(seed, read_settings(parse_options(text)))
-    return instance, event, offset + count
+    return instance_id, event, offset + count
 
 
 def _read_bytes(body: bytes, offset: int, count: int) -> bytes:
--- a/alderspool/simulator/wire.py
+++ b/alderspool/simulator/wire.py
@@ -53,7 +53,7 @@
 
 
 def decode_batch(body: bytes, record_count: int) -> list[tuple[InstanceId, InstanceEvent]]:
-    """Decode the body of a batch to pairs of instance and event, in order.
+    """Decode the body of a batch to pairs of instance id and event, in order.
 
     Raises WireError if the body is malformed, and SettingsError if the settings of an instance are invalid.
     """
@@ -67,7 +67,7 @@
         if decode is None:
             raise WireError(f"record {index} at offset {offset}: unknown event code {body[offset]}")
         try:
-            instance, event, next_offset = decode(body, offset + 1)
+            instance_id, event, next_offset = decode(body, offset + 1)
         except WireError as error:
             raise WireError(f"record {index} at offset {offset}: {error}") from error
         except SettingsError as error:
@@ -75,7 +75,7 @@
         except Exception as error:  # struct.error if the record is truncated
             message = f"record {index} at offset {offset}: truncated (code {body[offset]})"
             raise WireError(message) from error
-        events.append((instance, event))
+        events.append((instance_id, event))
         offset = next_offset
     if offset != body_length:
         excess_bytes = body_length - offset
