--- a/alderspool/lab/cli.py
+++ b/alderspool/lab/cli.py
@@ -12,7 +12,7 @@
 
 import click
 
-from alderspool.lab.errors import LabError, RunError
+from alderspool.lab.errors import InputError, RunError
 
 if TYPE_CHECKING:
     from alderspool.lab.load.results import Result
@@ -35,7 +35,7 @@
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
         try:
             command(*args, **kwargs)
-        except LabError as error:
+        except InputError as error:
             click.echo(f"alderspool lab: {error}", err=True)
             sys.exit(ExitStatus.UNUSABLE_INPUT)
         except RunError as error:
--- a/alderspool/lab/commands.py
+++ b/alderspool/lab/commands.py
@@ -31,7 +31,7 @@
     seed: int | None
 
     def plan(self) -> Plan:
-        """Lay out the plan. Raises LabError for unusable input."""
+        """Lay out the plan. Raises InputError for unusable input."""
         traffic = with_overrides(
             read_traffic(self.traffic_file), rate=self.rate, seconds=self.seconds, seed=self.seed
         )
--- a/alderspool/lab/emulator/fleet.py
+++ b/alderspool/lab/emulator/fleet.py
@@ -16,7 +16,7 @@
 from alderspool.lab.emulator.endpoint import EmulatedEndpoint, EndpointIdentity
 from alderspool.lab.emulator.faults import FAULT_STEPS, Fault
 from alderspool.lab.emulator.proxy_process import ProxyProcess
-from alderspool.lab.errors import LabError
+from alderspool.lab.errors import InputError
 from alderspool.lab.models.deduplication import DeduplicationScope
 from alderspool.lab.models.discovery import DiscoveryModel, EndpointRecord, EndpointStatus
 from alderspool.lab.models.endpoint_profile import EndpointProfile
@@ -94,12 +94,12 @@
     async def play_faults(self, log: Callable[[str], None] = lambda text: None) -> None:
         """Play the plan's faults, timed from now; return after the last one has ended.
 
-        Raises LabError, before any fault begins, for a fault of an unknown kind or endpoint.
+        Raises InputError, before any fault begins, for a fault of an unknown kind or endpoint.
         """
         for fault in self.plan.faults:
             if fault.kind not in FAULT_STEPS or not 0 <= fault.endpoint < len(self.endpoints):
                 kinds = ", ".join(FAULT_STEPS)
-                raise LabError(f"{fault}: kinds are {kinds}; endpoints 0 to {len(self.endpoints) - 1}")
+                raise InputError(f"{fault}: kinds are {kinds}; endpoints 0 to {len(self.endpoints) - 1}")
         await asyncio.gather(*(self._play_fault(fault, log) for fault in self.plan.faults))
 
     async def _play_fault(self, fault: Fault, log: Callable[[str], None]) -> None:
--- a/alderspool/lab/errors.py
+++ b/alderspool/lab/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class LabError(Exception):
+class InputError(Exception):
     """The input is unusable; the message names the file, the key and the reason. Exit status 2."""
 
 
--- a/alderspool/lab/load/trace.py
+++ b/alderspool/lab/load/trace.py
@@ -11,7 +11,7 @@
 import msgspec
 import numpy as np
 
-from alderspool.lab.errors import LabError
+from alderspool.lab.errors import InputError
 from alderspool.lab.load.plan import Plan
 from alderspool.lab.load.traffic import MAX_PLANNED_REQUESTS, Traffic
 
@@ -36,7 +36,7 @@
     """Read the plan of a trace, in order of time.
 
     The classes of the trace must be among those of the traffic, which have the deadline and the idempotency.
-    Raises LabError with the file, the line and the reason.
+    Raises InputError with the file, the line and the reason.
     """
     class_indices = {traffic_class.name: index for index, traffic_class in enumerate(traffic.classes)}
     tenant_indices: dict[str, int] = {}
@@ -45,13 +45,15 @@
         arrival = numbered.arrival
         place = f"{path}:{numbered.line}"
         if arrival.request_class not in class_indices:
-            raise LabError(f"{place}: class {arrival.request_class!r} is none of {', '.join(class_indices)}")
+            raise InputError(
+                f"{place}: class {arrival.request_class!r} is none of {', '.join(class_indices)}"
+            )
         if len(arrivals) >= MAX_PLANNED_REQUESTS:
-            raise LabError(f"{place}: over {MAX_PLANNED_REQUESTS} arrivals")
+            raise InputError(f"{place}: over {MAX_PLANNED_REQUESTS} arrivals")
         tenant_indices.setdefault(arrival.tenant, len(tenant_indices))
         arrivals.append(arrival)
     if not arrivals:
-        raise LabError(f"{path}: no arrivals")
+        raise InputError(f"{path}: no arrivals")
     arrivals.sort(key=attrgetter("at_s"))
     return Plan(
         at_s=np.array([arrival.at_s for arrival in arrivals]),
@@ -64,23 +66,23 @@
 
 
 def _numbered_arrivals(path: Path) -> Iterator[NumberedArrival]:
-    """Read the arrivals in the file's order. Raises LabError."""
+    """Read the arrivals in the file's order. Raises InputError."""
     line = 0
     try:
         with path.open(newline="") as file:
             trace_format = _FORMATS.get(path.suffix)
             if trace_format is None:
-                raise LabError(f"{path}: a trace ends in {' or '.join(_FORMATS)}")
+                raise InputError(f"{path}: a trace ends in {' or '.join(_FORMATS)}")
             for row in trace_format.read_rows(file):
                 line = row.line
                 if row.content:
                     yield NumberedArrival(line, trace_format.decode(row.content))
     except OSError as error:
-        raise LabError(f"{path}: {error.strerror}") from error
+        raise InputError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise LabError(f"{path}:{line + 1}: not UTF-8") from error
+        raise InputError(f"{path}:{line + 1}: not UTF-8") from error
     except (msgspec.DecodeError, csv.Error) as error:
-        raise LabError(f"{path}:{line}: {error}") from error
+        raise InputError(f"{path}:{line}: {error}") from error
 
 
 class _Row(NamedTuple):
--- a/alderspool/lab/load/traffic.py
+++ b/alderspool/lab/load/traffic.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from alderspool.lab.errors import LabError
+from alderspool.lab.errors import InputError
 
 MAX_PLANNED_REQUESTS = 5_000_000  # in one run: a mistake in a unit must not fill the memory
 
@@ -88,29 +88,29 @@
 def read_traffic(path: Path | None) -> Traffic:
     """Read the traffic of a file; without a file return the built-in one.
 
-    Raises LabError with the file, the key and the reason.
+    Raises InputError with the file, the key and the reason.
     """
     if path is None:
         return Traffic()
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Traffic)
     except OSError as error:
-        raise LabError(f"{path}: {error.strerror}") from error
+        raise InputError(f"{path}: {error.strerror}") from error
     except msgspec.DecodeError as error:  # a ValidationError names the key, other errors the line
-        raise LabError(f"{path}: {error}") from error
+        raise InputError(f"{path}: {error}") from error
 
 
 def with_overrides(traffic: Traffic, **overrides: float | None) -> Traffic:
     """Return the traffic with values of the command line in place of the file's, checked like these.
 
-    An override that is None is not given. Raises LabError.
+    An override that is None is not given. Raises InputError.
     """
     given = {key: value for key, value in overrides.items() if value is not None}
     try:
         traffic = msgspec.convert(msgspec.to_builtins(traffic) | given, type=Traffic)
     except msgspec.ValidationError as error:
-        raise LabError(f"command line: {error}") from error
+        raise InputError(f"command line: {error}") from error
     planned_requests = traffic.rate * traffic.seconds
     if planned_requests > MAX_PLANNED_REQUESTS:
-        raise LabError(f"rate x seconds: {planned_requests:.0f} requests, over {MAX_PLANNED_REQUESTS}")
+        raise InputError(f"rate x seconds: {planned_requests:.0f} requests, over {MAX_PLANNED_REQUESTS}")
     return traffic
--- a/alderspool/lab/load/workers.py
+++ b/alderspool/lab/load/workers.py
@@ -14,7 +14,7 @@
 from multiprocessing.context import SpawnProcess
 from urllib.parse import urlsplit
 
-from alderspool.lab.errors import LabError, RunError
+from alderspool.lab.errors import InputError, RunError
 from alderspool.lab.load.plan import Plan
 from alderspool.lab.load.results import EncodedResult, Result
 from alderspool.lab.load.sender import Sender
@@ -72,15 +72,15 @@
 
 
 def parse_url(url: str) -> HostPort:
-    """Read host and port of an http URL. Raises LabError if it is none."""
+    """Read host and port of an http URL. Raises InputError if it is none."""
     try:
         parts = urlsplit(url)
         host = parts.hostname
         port = parts.port
     except ValueError as error:
-        raise LabError(f"{url}: {error}") from error
+        raise InputError(f"{url}: {error}") from error
     if parts.scheme != "http" or not host or parts.path not in ("", "/") or parts.query:
-        raise LabError(f"{url}: not of the form http://HOST:PORT")
+        raise InputError(f"{url}: not of the form http://HOST:PORT")
     return HostPort(host, port or DEFAULT_HTTP_PORT)
 
 
@@ -100,12 +100,12 @@
     `advance` is called with the number of requests sent so far. `stop` ends the run from another thread,
     which Ctrl-C does not reach.
 
-    Raises LabError for an unusable URL or plan, and RunError if the run is stopped or a worker dies:
+    Raises InputError for an unusable URL or plan, and RunError if the run is stopped or a worker dies:
     percentiles without its part of the plan would be wrong.
     """
     server = parse_url(url)
     if not len(plan):
-        raise LabError("the plan is empty: rate and length give no request")
+        raise InputError("the plan is empty: rate and length give no request")
     result = Result(len(plan))
     workers: list[_Worker] = []
     try:
--- a/tests/test_lab_emulator.py
+++ b/tests/test_lab_emulator.py
@@ -17,7 +17,7 @@
 from alderspool.lab.emulator.endpoint import ClassWork, EmulatedEndpoint, EndpointIdentity
 from alderspool.lab.emulator.faults import Fault, FaultKind
 from alderspool.lab.emulator.fleet import Fleet, FleetPlan
-from alderspool.lab.errors import LabError
+from alderspool.lab.errors import InputError
 from alderspool.lab.models.deduplication import DeduplicationScope
 from alderspool.lab.models.discovery import DiscoveryModel, EndpointRecord, EndpointStatus, UpdateDelays
 from alderspool.lab.models.endpoint import OfferResult
@@ -236,10 +236,10 @@
 @real
 async def test_rejects_unknown_faults_before_any_begins() -> None:
     fleet = Fleet(FleetPlan(endpoints=2, faults=(Fault(0.0, "flood", 0, 1.0),)))
-    with pytest.raises(LabError, match="kinds are crash"):
+    with pytest.raises(InputError, match="kinds are crash"):
         await fleet.play_faults()
     fleet.plan.faults = (Fault(0.0, FaultKind.CRASH, 2, 1.0),)
-    with pytest.raises(LabError, match="endpoints 0 to 1"):
+    with pytest.raises(InputError, match="endpoints 0 to 1"):
         await fleet.play_faults()
 
 
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -20,7 +20,7 @@
 from hdrh.log import HistogramLogReader
 
 from alderspool.lab.cli import lab
-from alderspool.lab.errors import LabError, RunError
+from alderspool.lab.errors import InputError, RunError
 from alderspool.lab.load import workers
 from alderspool.lab.load.plan import Plan, lay_out
 from alderspool.lab.load.results import Outcome, RequestRecord, Result, Tag, create_histogram
@@ -148,7 +148,7 @@
 def test_rejects_bad_traffic_file_with_one_line(tmp_path: Path, text: str, reason: str) -> None:
     path = tmp_path / "traffic.toml"
     path.write_text(text)
-    with pytest.raises(LabError) as fault:
+    with pytest.raises(InputError) as fault:
         read_traffic(path)
     assert str(path) in str(fault.value) and reason in str(fault.value) and "\n" not in str(fault.value)
     done = CliRunner().invoke(lab, ["load", "http://127.0.0.1:1", "--traffic", str(path)])
@@ -216,7 +216,7 @@
 def test_rejects_bad_trace_naming_the_line(tmp_path: Path, name: str, text: str, place: str) -> None:
     path = tmp_path / name
     path.write_text(text)
-    with pytest.raises(LabError) as fault:
+    with pytest.raises(InputError) as fault:
         read_trace(path, Traffic())
     assert place in str(fault.value)
 
@@ -366,5 +366,5 @@
 
 def test_rejects_an_empty_plan() -> None:
     empty = np.array([], dtype=int)
-    with pytest.raises(LabError, match="empty"):
+    with pytest.raises(InputError, match="empty"):
         workers.run("http://127.0.0.1:1", Plan(empty, empty, empty, empty, ONE["classes"], ["a"]), 1)
