--- a/alderspool/lab/models/endpoint.py
+++ b/alderspool/lab/models/endpoint.py
@@ -104,7 +104,7 @@
         self._cold_overload = ColdOverload(self.profile)
         self._choke = Choke(self.profile)
         self.connections = 0
-        self.busy_share = 0.0  # moving average of the share of the cores at work
+        self.utilisation = 0.0  # moving average of the share of the cores at work
         self.work_done = 0.0
         self.work_wasted = 0.0  # of it, for cancelled attempts
 
@@ -274,8 +274,8 @@
             for attempt in self._running:
                 attempt.work_left -= work
                 self.work_done += work
-        busy_share = min(len(self._running), cores) / cores
+        utilisation = min(len(self._running), cores) / cores
         weight = 1.0 - math.exp(-duration_ms / _BUSY_SHARE_TIME_CONSTANT_MS)
-        self.busy_share += (busy_share - self.busy_share) * weight
+        self.utilisation += (utilisation - self.utilisation) * weight
         self._now_ms = until_ms
-        self._choke.update(until_ms, self.attempt_count, self.busy_share)
+        self._choke.update(until_ms, self.attempt_count, self.utilisation)
--- a/alderspool/lab/models/endpoint_overload.py
+++ b/alderspool/lab/models/endpoint_overload.py
@@ -19,13 +19,13 @@
     @property
     def slowdown(self) -> float:
         """The factor by which it is slower now."""
-        return 1.0 if self.since_ms is None else self._profile.choke_slowdown
+        return 1.0 if self.since_ms is None else self._profile.degraded_slowdown
 
-    def update(self, now_ms: float, attempt_count: int, busy_share: float) -> None:
+    def update(self, now_ms: float, attempt_count: int, utilisation: float) -> None:
         """Begin or end the slowdown by the load at this moment."""
         profile = self._profile
         is_congested = attempt_count > profile.choke_threshold * profile.cores
-        is_idle = busy_share < profile.choke_recovery_busy_share
+        is_idle = utilisation < profile.choke_recovery_busy_share
         self._congested_since_ms = _since(is_congested, self._congested_since_ms, now_ms)
         self._idle_since_ms = _since(is_idle, self._idle_since_ms, now_ms)
         if self.since_ms is None:
--- a/alderspool/lab/models/endpoint_profile.py
+++ b/alderspool/lab/models/endpoint_profile.py
@@ -32,7 +32,7 @@
 
     choke_threshold: float = math.inf  # attempts for each core; more for `choke_after_ms` make it slower
     choke_after_ms: float = 2000.0
-    choke_slowdown: float = 3.0
+    degraded_slowdown: float = 3.0
     choke_recovery_busy_share: float = 0.3  # less busy than this for `choke_recovery_ms` ends it
     choke_recovery_ms: float = 3000.0
     choke_max_ms: float = 22_000.0
--- a/tests/fleet_endpoint.py
+++ b/tests/fleet_endpoint.py
@@ -49,7 +49,7 @@
     choked_at: float | None = None
     crowded_since: float | None = None
     idle_since: float | None = None
-    busy_share: float = 0.0  # moving average of the share of its cores at work
+    utilisation: float = 0.0  # moving average of the share of its cores at work
 
     def rate(self, now_ms: float) -> float:
         """Return the work that one core does in a ms, at this moment."""
@@ -58,8 +58,8 @@
             age_ms = now_ms - self.started_at_ms
             warm_up_factor = INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age_ms / SLOW_START_MS
             warm_up_factor = min(warm_up_factor, 1.0)
-        choke_slowdown = CHOKE_SLOWDOWN if self.choked_at is not None else 1.0
-        return self.speed * warm_up_factor / self.slower / choke_slowdown
+        degraded_slowdown = CHOKE_SLOWDOWN if self.choked_at is not None else 1.0
+        return self.speed * warm_up_factor / self.slower / degraded_slowdown
 
     def entry(self) -> EndpointEntry:
         """Return its line of the endpoint list."""
@@ -71,9 +71,9 @@
 
     def sample_load(self, now_ms: float) -> None:
         """Update the averages of its load, and begin or end the slowdown that overload causes."""
-        self.busy_share += (self.running / CORES - self.busy_share) * BUSY_SHARE_WEIGHT
+        self.utilisation += (self.running / CORES - self.utilisation) * BUSY_SHARE_WEIGHT
         is_crowded = self.running + len(self.queue) > CHOKE_ATTEMPTS
-        is_idle = self.busy_share < CHOKE_RECOVERY_BUSY_SHARE
+        is_idle = self.utilisation < CHOKE_RECOVERY_BUSY_SHARE
         self.crowded_since = (self.crowded_since or now_ms) if is_crowded else None
         self.idle_since = (self.idle_since or now_ms) if is_idle else None
         if self.choked_at is None:
--- a/tests/test_lab_models.py
+++ b/tests/test_lab_models.py
@@ -163,7 +163,7 @@
     profile = {
         "choke_threshold": 2.0,
         "choke_after_ms": 500.0,
-        "choke_slowdown": 3.0,
+        "degraded_slowdown": 3.0,
         "choke_recovery_ms": 300.0,
     }
     endpoint = make_endpoint(max_queued=99, **profile)
