--- a/alderspool/lab/emulator/discovery.py
+++ b/alderspool/lab/emulator/discovery.py
@@ -64,7 +64,7 @@
         except ValueError:
             return encode_response(HTTPStatus.BAD_REQUEST)
         records = await self._records(query)
-        complete_at_ms = self.model.complete_call_at(now_ms(), len(records))
+        complete_at_ms = self.model.schedule_call(now_ms(), len(records))
         if complete_at_ms is None:
             return encode_response(HTTPStatus.SERVICE_UNAVAILABLE)
         await sleep_until(complete_at_ms)
--- a/alderspool/lab/models/__init__.py
+++ b/alderspool/lab/models/__init__.py
@@ -1,5 +1,6 @@
-"""Models of what surrounds a proxy: endpoints, discovery, the front load balancer and clients.
+"""Models of the environment of a proxy: endpoints, discovery, the front load balancer and clients.
 
-They do no I/O and read no clock: times are passed in, in ms, and random numbers come from seeded numpy
-generators. So the same models run behind sockets and in virtual time; nothing here imports asyncio.
+The models do no I/O and read no clock: the caller passes the time in ms, and random numbers come from seeded
+numpy generators. The same models can therefore run in real time behind sockets and in simulated time. Nothing
+here imports asyncio.
 """
--- a/alderspool/lab/models/discovery.py
+++ b/alderspool/lab/models/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service: updates are late, and one worker serves all calls in turn."""
+"""Model of the discovery service: it lists updates with a delay, and one worker serves calls in turn."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class EndpointStatus(StrEnum):
-    """What the endpoint list says of an endpoint."""
+    """Status of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class EndpointRecord:
-    """One endpoint of the list; the field names are those of the list's JSON form."""
+    """Entry of the endpoint list; the fields are named as in its JSON form."""
 
     name: str
     address: str
@@ -26,23 +26,23 @@
     group: int = 0
     status: EndpointStatus = EndpointStatus.READY
     weight: float = 1.0
-    since_ms: float = 0.0  # the last start; 0: long ago
+    since_ms: float = 0.0  # time of the last start; 0: started long ago
 
     def restarted(self, now_ms: float) -> EndpointRecord:
-        """Return the record of the same endpoint after a restart at this moment."""
+        """Return the record of this endpoint after a restart at `now_ms`."""
         return replace(self, status=EndpointStatus.READY, since_ms=now_ms)
 
 
 @dataclass(frozen=True)
 class UpdateDelays:
-    """How long a change of status takes to reach the list, by the new status, in ms."""
+    """Delay from a status change to its listing, by the new status."""
 
     ready_ms: float = 1000.0
     draining_ms: float = 500.0
     gone_ms: float = 1500.0
 
-    def of(self, status: EndpointStatus) -> float:
-        """Return the delay of a change to this status."""
+    def for_status(self, status: EndpointStatus) -> float:
+        """Return the delay in ms for a change to this status."""
         match status:
             case EndpointStatus.READY:
                 return self.ready_ms
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, order=True)
 class _PendingUpdate:
-    """A change on its way to the list, ordered by its moment and then by its report."""
+    """A reported update that is not listed yet; sorts by due time, then by order of the reports."""
 
     due_at_ms: float
     sequence: int
@@ -63,12 +63,12 @@
 
 @dataclass
 class DiscoveryModel:
-    """The endpoint list by version, and the time that calls take. Times in ms."""
+    """The versioned endpoint list, and the duration of calls. Times in ms."""
 
     delays: UpdateDelays = field(default_factory=UpdateDelays)
-    call_ms: float = 0.0  # the worker's time for a call
-    line_ms: float = 0.0  # and for each endpoint of its response
-    timeout_ms: float = 2000.0
+    per_call_ms: float = 0.0  # service time of a call, without its endpoints
+    per_endpoint_ms: float = 0.0  # additional service time for each endpoint in the response
+    timeout_ms: float = 2000.0  # longest time that a call waits for the worker
     version: int = 1
     is_up: bool = True
     _records: dict[str, EndpointRecord] = field(default_factory=dict)
@@ -78,13 +78,13 @@
     _busy_until_ms: float = 0.0
 
     def report(self, now_ms: float, record: EndpointRecord) -> None:
-        """Take up a change at the moment that it happens; it is listed after the delay of its status."""
+        """Report an endpoint that has changed at `now_ms`; it is listed after the delay for its status."""
         self._update_count += 1
-        due_at_ms = now_ms + self.delays.of(record.status)
+        due_at_ms = now_ms + self.delays.for_status(record.status)
         self._pending_updates.append(_PendingUpdate(due_at_ms, self._update_count, record))
 
     def advance(self, now_ms: float) -> bool:
-        """List the updates that are due, in order; return whether there were any."""
+        """List the updates that are due, in order of their due times; return whether there were any."""
         due = sorted(update for update in self._pending_updates if update.due_at_ms <= now_ms)
         self._pending_updates = [update for update in self._pending_updates if update.due_at_ms > now_ms]
         for update in due:
@@ -94,26 +94,26 @@
         return bool(due)
 
     def next_update_at(self) -> float:
-        """Return when the next update is listed; infinity if none is on its way."""
+        """Return when the next pending update is due; infinity if there is none."""
         return min((update.due_at_ms for update in self._pending_updates), default=math.inf)
 
     def snapshot(self) -> list[EndpointRecord]:
-        """Return the complete list, without the endpoints that are gone."""
+        """Return all endpoints of the list that are not gone."""
         return [record for record in self._records.values() if record.status != EndpointStatus.GONE]
 
     def changes_since(self, version: int) -> list[EndpointRecord]:
-        """Return what changed after that version, endpoints that are gone included."""
+        """Return the endpoints that changed after that version, including those that are gone."""
         return [self._records[name] for name, changed_in in self._versions.items() if changed_in > version]
 
-    def complete_call_at(self, now_ms: float, lines: int) -> float | None:
-        """Return when a call with so many endpoints is answered.
+    def schedule_call(self, now_ms: float, endpoint_count: int) -> float | None:
+        """Occupy the worker for a call that arrives now, and return when its response is sent.
 
-        None: it would wait longer than the timeout for the worker, or the service is down.
+        Return None if the service is down or the call would wait longer than the timeout for the worker.
         """
         if not self.is_up:
             return None
-        begin_ms = max(now_ms, self._busy_until_ms)
-        if begin_ms - now_ms > self.timeout_ms:
+        starts_at_ms = max(now_ms, self._busy_until_ms)
+        if starts_at_ms - now_ms > self.timeout_ms:
             return None
-        self._busy_until_ms = begin_ms + self.call_ms + lines * self.line_ms
+        self._busy_until_ms = starts_at_ms + self.per_call_ms + endpoint_count * self.per_endpoint_ms
         return self._busy_until_ms
--- a/alderspool/lab/models/front.py
+++ b/alderspool/lab/models/front.py
@@ -1,4 +1,4 @@
-"""The front load balancer, which spreads client connections over the proxies."""
+"""Model of the load balancer in front of the proxies, which spreads client connections over them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FrontLoadBalancer:
-    """Chooses among the admitted proxies at random, and detects the death of one only after a delay."""
+    """Picks one of the admitted proxies at random. Notices only after a delay that a proxy has died."""
 
     def __init__(
         self, proxies: list[str], random: np.random.Generator, death_detection_ms: float = 2000.0
@@ -22,11 +22,11 @@
         self._died_at_ms.pop(proxy, None)
 
     def mark_dead(self, now_ms: float, proxy: str) -> None:
-        """Record the death of a proxy, which gets no more connections once that is detected."""
+        """Record that a proxy died now; it still gets connections until this is detected."""
         self._died_at_ms.setdefault(proxy, now_ms)
 
     def pick(self, now_ms: float) -> str | None:
-        """Choose the proxy for a new connection; None while none is admitted."""
+        """Return the proxy for a new connection; None if no proxy is admitted."""
         for proxy, died_at_ms in list(self._died_at_ms.items()):
             if now_ms - died_at_ms >= self._death_detection_ms:
                 self._is_admitted[proxy] = False
--- a/tests/test_lab_emulator.py
+++ b/tests/test_lab_emulator.py
@@ -103,7 +103,7 @@
 
 @real
 async def test_closed_connection_cancels_its_attempt() -> None:
-    endpoint = make_endpoint(work=60_000.0, stops_cancelled=True)
+    endpoint = make_endpoint(work=60_000.0, can_cancel_running=True)
     await endpoint.open()
     _, writer = await connect(endpoint.port)
     writer.write(get())
