--- a/alderspool/lab/__init__.py
+++ b/alderspool/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory measures the proxy from outside. The proxy never imports it; `make lint` checks that."""
+"""Tools that measure the proxy from outside. The proxy never imports them; `make lint` checks that."""
--- a/alderspool/lab/cli.py
+++ b/alderspool/lab/cli.py
@@ -1,4 +1,4 @@
-"""`alderspool lab`: the commands of the laboratory."""
+"""Command line of the laboratory: `alderspool lab`."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     """Exit statuses of the commands."""
 
     NO_RESULT = 1
-    UNUSABLE_INPUT = 2
-    TOOL_WAS_LATE = 3  # the run measured the tool and not the server
+    INVALID_INPUT = 2
+    LOAD_TOOL_LATE = 3  # the load tool could not keep to its schedule, so the result is invalid
 
 
-def _reports_errors_in_one_line(command: Callable[Parameters, None]) -> Callable[Parameters, None]:
-    """Decorate a command: it ends with one line and an exit status in place of a traceback."""
+def _exit_on_error(command: Callable[Parameters, None]) -> Callable[Parameters, None]:
+    """Decorate a command to end with a one-line message and an exit status instead of a traceback."""
 
     @functools.wraps(command)
     def run(*args: Parameters.args, **kwargs: Parameters.kwargs) -> None:
@@ -37,7 +37,7 @@
             command(*args, **kwargs)
         except InputError as error:
             click.echo(f"alderspool lab: {error}", err=True)
-            sys.exit(ExitStatus.UNUSABLE_INPUT)
+            sys.exit(ExitStatus.INVALID_INPUT)
         except RunError as error:
             click.echo(f"alderspool lab: {error}", err=True)
             sys.exit(ExitStatus.NO_RESULT)
@@ -46,7 +46,7 @@
 
 
 def _print_result(result: Result, *, as_json: bool) -> None:
-    """Print the result of a run; exit with TOOL_WAS_LATE if it is not valid."""
+    """Print the result of a run; exit with LOAD_TOOL_LATE if it is not valid."""
     from alderspool.lab import commands  # noqa: PLC0415  # see `lab`
 
     if as_json:
@@ -54,27 +54,31 @@
     else:
         commands.print_summary(result.summary())
     if not result.is_valid:
-        sys.exit(ExitStatus.TOOL_WAS_LATE)
+        sys.exit(ExitStatus.LOAD_TOOL_LATE)
 
 
 @click.group()
 def lab() -> None:
-    """Measure proxies from outside. Needs requirements-lab.txt."""
-    # The commands import their modules when they run, so that other commands of `alderspool` neither need nor
+    """Measure proxies from outside. Requires the libraries of requirements-lab.txt."""
+    # Each command imports its modules only when it runs: other commands of `alderspool` must neither need nor
     # load the libraries of the laboratory.
 
 
 @lab.command()
 @click.argument("url")
 @click.option("--traffic", type=click.Path(path_type=Path), help="TOML file: shape, rate, classes, tenants.")
-@click.option("--trace", type=click.Path(path_type=Path), help="Recorded arrivals (.jsonl or .csv) instead.")
-@click.option("--rate", type=float, help="Requests a second, in place of the file's.")
-@click.option("--seconds", type=float, help="Length, in place of the file's.")
-@click.option("--seed", type=int, help="Seed, in place of the file's.")
+@click.option(
+    "--trace",
+    type=click.Path(path_type=Path),
+    help="Recorded arrivals (.jsonl or .csv) to replay instead of generated ones.",
+)
+@click.option("--rate", type=float, help="Requests per second; overrides the file.")
+@click.option("--seconds", type=float, help="Duration in seconds; overrides the file.")
+@click.option("--seed", type=int, help="Random seed; overrides the file.")
 @click.option("--workers", type=click.IntRange(1, 64), default=2, show_default=True)
 @click.option("--out", type=click.Path(path_type=Path), help="Folder for latency.hlog, records and summary.")
 @click.option("--json", "as_json", is_flag=True, help="The summary as JSON on standard output.")
-@_reports_errors_in_one_line
+@_exit_on_error
 def load(
     url: str,
     *,
@@ -85,9 +89,10 @@
     trace: Path | None,
     **overrides: Any,
 ) -> None:
-    """Send open-loop load to URL (http://HOST:PORT): no arrival waits for the response to another.
+    """Send open-loop load to URL (http://HOST:PORT): requests are sent on schedule, whatever the responses.
 
-    Latency counts from the planned moment. Exit code 3: the tool itself was late, and the run says nothing.
+    Latency counts from the scheduled time. Exit code 3: the load tool could not keep to its schedule, so the
+    result is invalid.
     """
     from alderspool.lab import commands  # noqa: PLC0415  # see `lab`
 
@@ -99,9 +104,9 @@
 @lab.command()
 @click.option("--seconds", type=click.FloatRange(1.0, 600.0), default=15.0, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="The summary as JSON on standard output.")
-@_reports_errors_in_one_line
+@_exit_on_error
 def demo(seconds: float, *, as_json: bool) -> None:
-    """Start a small fleet, a proxy and traffic on free loopback ports, with two faults; print the result."""
+    """Run a small fleet and a proxy under load on free loopback ports, with two faults; print the result."""
     from alderspool.lab import commands  # noqa: PLC0415  # see `lab`
 
-    _print_result(commands.play_demo(seconds), as_json=as_json)
+    _print_result(commands.run_demo(seconds), as_json=as_json)
--- a/alderspool/lab/commands.py
+++ b/alderspool/lab/commands.py
@@ -1,4 +1,4 @@
-"""What the commands of the laboratory do; importing this loads its libraries (see `cli.lab`)."""
+"""Implementation of the laboratory's commands. Importing it loads the libraries they need (see `cli.lab`)."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from alderspool.lab.load.trace import read_trace
 from alderspool.lab.load.traffic import read_traffic, with_overrides
 
-__all__ = ["LoadInput", "load", "play_demo", "print_summary"]
+__all__ = ["LoadInput", "load", "print_summary", "run_demo"]
 
 
 @dataclass(frozen=True)
 class LoadInput:
-    """From what the plan of a load is made; None where nothing is given."""
+    """Input for the plan of a load; None for options that are not given."""
 
     traffic_file: Path | None
     trace_file: Path | None
@@ -31,7 +31,7 @@
     seed: int | None
 
     def plan(self) -> Plan:
-        """Lay out the plan. Raises InputError for unusable input."""
+        """Create the plan. Raises InputError for invalid input."""
         traffic = with_overrides(
             read_traffic(self.traffic_file), rate=self.rate, seconds=self.seconds, seed=self.seed
         )
@@ -41,21 +41,21 @@
 
 
 def load(
-    url: str, load_input: LoadInput, worker_count: int, out: Path | None, *, show_progress: bool
+    url: str, load_input: LoadInput, worker_count: int, output_folder: Path | None, *, show_progress: bool
 ) -> Result:
-    """Send load to the URL and return the result, written to the folder `out` too if there is one."""
+    """Send load to the URL, write the result to `output_folder` unless that is None, and return it."""
     plan = load_input.plan()
-    with progress(len(plan), quiet=not show_progress or not sys.stderr.isatty()) as advance:
-        result = workers.run(url, plan, worker_count, advance)
-    if out is not None:
-        write_result(out, result)
+    with progress(len(plan), quiet=not show_progress or not sys.stderr.isatty()) as on_progress:
+        result = workers.run(url, plan, worker_count, on_progress)
+    if output_folder is not None:
+        write_result(output_folder, result)
     return result
 
 
-def play_demo(seconds: float) -> Result:
-    """Play the demo, its events on standard error, and return the result of its load."""
-    with progress(demo.planned_requests(seconds), quiet=not sys.stderr.isatty()) as advance:
-        return asyncio.run(demo.demo(seconds, advance, _log))
+def run_demo(seconds: float) -> Result:
+    """Run the demo, print its events on standard error, and return the result of its load."""
+    with progress(demo.planned_requests(seconds), quiet=not sys.stderr.isatty()) as on_progress:
+        return asyncio.run(demo.demo(seconds, on_progress, _log))
 
 
 def _log(text: str) -> None:
--- a/alderspool/lab/demo.py
+++ b/alderspool/lab/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a small fleet, one proxy and traffic, with two faults, to be watched for some seconds."""
+"""The demo: a small fleet with one proxy under load, while two faults are injected."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 REQUESTS_PER_S = 200.0
 
 
-async def demo(seconds: float, advance: Callable[[int], None], log: Callable[[str], None]) -> Result:
-    """Play the demo and return the result of its load.
+async def demo(seconds: float, on_progress: Callable[[int], None], log: Callable[[str], None]) -> Result:
+    """Run the demo and return the result of its load.
 
-    One endpoint stays silent for a fifth of the time, another is down for a tenth of it. `advance` is called
-    with the number of requests sent so far, `log` with each event.
+    One endpoint is silent for a fifth of the time, another is down for a tenth of it. `on_progress` is called
+    with the number of requests sent so far, `log` with a description of each event.
     """
     faults = (
         Fault(0.3 * seconds, FaultKind.SILENCE, 1, 0.2 * seconds),
@@ -31,11 +31,11 @@
         log(f"{len(fleet.endpoints)} endpoints, discovery {fleet.discovery.address}, proxy {url}")
         plan = lay_out(Traffic(rate=REQUESTS_PER_S, seconds=seconds))
         stop = threading.Event()
-        load = asyncio.create_task(asyncio.to_thread(workers.run, url, plan, 1, advance, stop))
+        load = asyncio.create_task(asyncio.to_thread(workers.run, url, plan, 1, on_progress, stop))
         try:
-            await asyncio.gather(load, fleet.play_faults(log))
+            await asyncio.gather(load, fleet.inject_faults(log))
         finally:
-            stop.set()  # Ctrl-C ends this task, not the thread
+            stop.set()  # Ctrl-C cancels this task but not the thread of the load
         return load.result()
 
 
--- a/alderspool/lab/emulator/__init__.py
+++ b/alderspool/lab/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints and discovery on loopback ports, by the models of `alderspool.lab.models`, and real proxies."""
+"""Endpoints and discovery emulated with the models of `alderspool.lab.models`, and real proxy processes."""
--- a/alderspool/lab/emulator/clock.py
+++ b/alderspool/lab/emulator/clock.py
@@ -1,4 +1,4 @@
-"""The time of the models while they run behind sockets."""
+"""The clock of the models when they run in real time behind sockets."""
 
 from __future__ import annotations
 
@@ -11,6 +11,6 @@
     return time.monotonic() * 1000.0
 
 
-async def sleep_until(moment_ms: float) -> None:
-    """Sleep until this moment of `now_ms`; not at all if it has passed."""
-    await asyncio.sleep(max(moment_ms - now_ms(), 0.0) / 1000.0)
+async def sleep_until(until_ms: float) -> None:
+    """Sleep until `now_ms()` reaches `until_ms`; return immediately if it already has."""
+    await asyncio.sleep(max(until_ms - now_ms(), 0.0) / 1000.0)
--- a/alderspool/lab/emulator/discovery.py
+++ b/alderspool/lab/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service on a socket: the complete endpoint list, or a watch that waits for changes."""
+"""Emulated discovery service: serves the endpoint list as a snapshot or a watch that waits for changes."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True)
 class _ListQuery:
-    """What a client requests of the list."""
+    """Query parameters of a request for the endpoint list."""
 
-    since: int | None  # None: the complete list at once; else a watch for changes since this version
+    since: int | None  # None: a snapshot; otherwise a watch for changes since this version
     timeout_ms: float
 
     @classmethod
     def parse(cls, query: str) -> _ListQuery:
-        """Read a query string. Raises ValueError."""
+        """Parse a query string. Raises ValueError if a number is malformed."""
         values = parse_qs(query)
         since = int(values["since"][0]) if "since" in values else None
         timeout_ms = min(float(values.get("timeout_ms", ["0"])[0]), MAX_WATCH_MS)
@@ -36,14 +36,14 @@
 
 
 class EmulatedDiscovery(LoopbackListener):
-    """Serves the list of its model."""
+    """Serves the endpoint list of its model over HTTP."""
 
     def __init__(self, model: DiscoveryModel) -> None:
         super().__init__()
         self.model = model
 
     def report(self, record: EndpointRecord) -> None:
-        """Take up a change of an endpoint now; it is listed after the model's delay."""
+        """Report a change of an endpoint; it is listed after the delay that the model defines."""
         self.model.report(now_ms(), record)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -63,16 +63,16 @@
             query = _ListQuery.parse(parts.query)
         except ValueError:
             return encode_response(HTTPStatus.BAD_REQUEST)
-        records = await self._records(query)
+        records = await self._wait_for_records(query)
         complete_at_ms = self.model.schedule_call(now_ms(), len(records))
         if complete_at_ms is None:
             return encode_response(HTTPStatus.SERVICE_UNAVAILABLE)
         await sleep_until(complete_at_ms)
-        document = list_document(self.model.version, records, is_snapshot=query.since is None)
+        document = endpoint_list_document(self.model.version, records, is_snapshot=query.since is None)
         return encode_response(HTTPStatus.OK, json.dumps(document).encode())
 
-    async def _records(self, query: _ListQuery) -> list[EndpointRecord]:
-        """Return the snapshot, or the changes once there are any or the watch's time is over."""
+    async def _wait_for_records(self, query: _ListQuery) -> list[EndpointRecord]:
+        """Return the snapshot; for a watch, wait for changes until its timeout and return them."""
         self.model.advance(now_ms())
         if query.since is None:
             return self.model.snapshot()
@@ -83,8 +83,10 @@
         return self.model.changes_since(query.since)
 
 
-def list_document(version: int, records: list[EndpointRecord], *, is_snapshot: bool) -> dict[str, Any]:
-    """Return the list in the form that discovery sends as JSON."""
+def endpoint_list_document(
+    version: int, records: list[EndpointRecord], *, is_snapshot: bool
+) -> dict[str, Any]:
+    """Return the endpoint list in the form that the discovery service sends as JSON."""
     endpoints = [
         {
             "name": record.name,
--- a/alderspool/lab/emulator/endpoint.py
+++ b/alderspool/lab/emulator/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint on a socket: its model decides when and whether a response comes, this transports it."""
+"""Emulated endpoint: serves HTTP on a loopback port; its model decides whether and when it responds."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 
 NOT_RUN_HEADER = b"X-Not-Run: 1"
 HEALTH_TARGETS = ("/health", "/status/load")
-_KEY_BYTES = 8  # at the end of a target; they distinguish the keys
+_KEY_BYTES = 8  # a key is made of this many bytes at the end of the target
 
 
 @dataclass(frozen=True)
-class ClassWork:
-    """The work of a request of some class: lognormal, in ms of a core of speed 1."""
+class WorkDistribution:
+    """Lognormal distribution of the work of a class's requests, in ms of one core of speed 1."""
 
     mean: float
     coefficient_of_variation: float = 0.4
 
-    def draw(self, random: np.random.Generator) -> float:
-        """Return the work of one request."""
+    def sample(self, random: np.random.Generator) -> float:
+        """Draw the work of one request."""
         sigma = math.sqrt(math.log(1.0 + self.coefficient_of_variation**2))
         return self.mean * random.lognormal(-(sigma**2) / 2.0, sigma)
 
 
 @dataclass(frozen=True)
 class EndpointIdentity:
-    """What the endpoint list says of an endpoint, whatever its state."""
+    """The fields of an endpoint list entry that do not depend on the endpoint's state."""
 
     name: str
     zone: str = "a"
@@ -53,25 +53,25 @@
 
 @dataclass
 class AttemptRecord:
-    """What an endpoint saw of one attempt; moments in s of time.time()."""
+    """An endpoint's record of an attempt. Times are Unix times in s."""
 
     endpoint: str
     request_id: str
     request_class: str
     arrived_at_s: float
     offer_result: OfferResult
-    has_run: bool = False  # to its end
-    responded_at_s: float = 0.0
+    is_completed: bool = False  # whether it ran to its end
+    responded_at_s: float = 0.0  # 0: not completed
 
 
 class EmulatedEndpoint(LoopbackListener):
-    """One endpoint. `records` has every attempt that arrived, in order, for those who evaluate a run."""
+    """One endpoint. `records` holds all attempts in order of arrival, for the evaluation of a run."""
 
     def __init__(
         self,
         identity: EndpointIdentity,
         profile: EndpointProfile,
-        work_by_class: Mapping[str, ClassWork],
+        work_by_class: Mapping[str, WorkDistribution],
         random: np.random.Generator,
         deduplication: DeduplicationScope | None = None,
     ) -> None:
@@ -79,31 +79,31 @@
         self.identity = identity
         self.model = EndpointModel(profile, random, deduplication, now_ms())
         self.records: list[AttemptRecord] = []
-        self.since_ms = 0.0  # the last start, Unix time; 0: long ago
+        self.since_ms = 0.0  # Unix time of the last start; 0: started long ago
         self._work_by_class = work_by_class
         self._random = random
-        self._statuses: dict[int, asyncio.Future[HTTPStatus]] = {}  # of outstanding attempts
+        self._pending_statuses: dict[int, asyncio.Future[HTTPStatus]] = {}  # by id of an outstanding attempt
         self._timer: asyncio.TimerHandle | None = None
         self._attempt_count = 0
 
     @property
     def name(self) -> str:
-        """The name in the endpoint list."""
+        """The endpoint's name in the endpoint list."""
         return self.identity.name
 
     # ---- faults ----------------------------------------------------------------------------------
 
     def crash(self) -> None:
-        """End the process: its connections are reset, its attempts lost."""
+        """End the process: its connections are reset and its attempts are lost."""
         self._advance()
         self.model.crash()
         self.kill()
-        for status in self._statuses.values():
+        for status in self._pending_statuses.values():
             status.cancel()
-        self._statuses.clear()
+        self._pending_statuses.clear()
 
     async def restart(self) -> None:
-        """Start a new process at the same port; one that still runs ends first."""
+        """Start a new process on the same port; crash the current one first if it is still up."""
         if self.model.is_up:
             self.crash()
         self.model.restart(now_ms())
@@ -130,7 +130,7 @@
             self.model.disconnect()
 
     async def _respond(self, request: HttpRequest, reader: asyncio.StreamReader) -> bytes | None:
-        """Return the response; None closes the connection without one."""
+        """Return the response, or None to close the connection without one."""
         self._advance()
         if request.target in HEALTH_TARGETS:
             is_healthy = self.model.check_health()
@@ -158,32 +158,31 @@
             case OfferResult.DOWN:
                 return None
             case OfferResult.ACCEPTED | OfferResult.SILENT:
-                return await self._run(attempt, record, reader)
+                return await self._respond_on_completion(attempt, record, reader)
 
     def _new_attempt(self, request: HttpRequest, request_class: str) -> EndpointAttempt:
         self._attempt_count += 1
-        work = self._work_by_class[request_class].draw(self._random)
+        work = self._work_by_class[request_class].sample(self._random)
         idempotency_key = request.header(b"idempotency-key")
-        return EndpointAttempt(self._attempt_count, work, key_of_target(request.target), idempotency_key)
+        return EndpointAttempt(self._attempt_count, work, key_from_target(request.target), idempotency_key)
 
-    async def _run(
+    async def _respond_on_completion(
         self, attempt: EndpointAttempt, record: AttemptRecord, reader: asyncio.StreamReader
     ) -> bytes | None:
-        """Wait until the attempt has run; None if its peer disconnected before, or the process ended."""
-        self._statuses[attempt.id] = asyncio.get_running_loop().create_future()
+        """Return the response after the attempt; None if the client disconnects or the endpoint crashes."""
+        self._pending_statuses[attempt.id] = asyncio.get_running_loop().create_future()
         self._reschedule()
-        status = await self._status_unless_disconnected(attempt.id, reader)
+        status = await self._wait_for_status(attempt.id, reader)
         if status is None:
             return None
-        record.has_run = True
+        record.is_completed = True
         record.responded_at_s = time.time()
         return self._encode_success(record) if status == HTTPStatus.OK else encode_response(status)
 
-    async def _status_unless_disconnected(
-        self, attempt_id: int, reader: asyncio.StreamReader
-    ) -> HTTPStatus | None:
-        status = self._statuses[attempt_id]
-        # The peer sends nothing more while its request is outstanding: a read ends when it disconnects.
+    async def _wait_for_status(self, attempt_id: int, reader: asyncio.StreamReader) -> HTTPStatus | None:
+        """Wait for the status of an attempt; cancel it and return None if the client disconnects."""
+        status = self._pending_statuses[attempt_id]
+        # The client sends nothing more while its request is outstanding: the read ends when it disconnects.
         disconnected = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait((status, disconnected), return_when=asyncio.FIRST_COMPLETED)
@@ -193,9 +192,9 @@
             self.model.cancel(attempt_id)
             return None
         finally:
-            self._statuses.pop(attempt_id, None)
+            self._pending_statuses.pop(attempt_id, None)
             disconnected.cancel()
-            await asyncio.wait((disconnected,))  # a stream reader allows one read at a time
+            await asyncio.wait((disconnected,))  # StreamReader allows only one read at a time
 
     def _encode_success(self, record: AttemptRecord) -> bytes:
         document = {"id": record.request_id, "node": self.name}
@@ -204,8 +203,9 @@
     # ---- time ------------------------------------------------------------------------------------
 
     def _advance(self) -> None:
+        """Advance the model to now and pass on the statuses of completed attempts."""
         for completion in self.model.advance(now_ms()):
-            status = self._statuses.get(completion.id)
+            status = self._pending_statuses.get(completion.id)
             if status is not None and not status.done():
                 status.set_result(HTTPStatus.INTERNAL_SERVER_ERROR if completion.is_error else HTTPStatus.OK)
 
@@ -217,14 +217,14 @@
         next_event_at_ms = self.model.next_event_at()
         if next_event_at_ms < math.inf:
             delay_s = max(next_event_at_ms - now_ms(), 0.0) / 1000.0
-            self._timer = asyncio.get_running_loop().call_later(delay_s, self._timer_fired)
+            self._timer = asyncio.get_running_loop().call_later(delay_s, self._on_timer)
 
-    def _timer_fired(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self._advance()
         self._reschedule()
 
 
-def key_of_target(target: str) -> int:
-    """Return what a request concerns, as a number that is the same in every process."""
+def key_from_target(target: str) -> int:
+    """Return the key of a request: a number that, unlike a hash, is the same in every process."""
     return int.from_bytes(target.encode()[-_KEY_BYTES:], "big")
--- a/alderspool/lab/emulator/faults.py
+++ b/alderspool/lab/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The faults that the emulator can inject into an endpoint: how each begins and ends."""
+"""The faults that the emulator can inject into an endpoint, and the actions that begin and end them."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class FaultKind(StrEnum):
-    """Kinds of fault."""
+    """Kind of a fault."""
 
-    CRASH = "crash"  # connections are reset, new ones refused; ends with a restart in slow start
-    SILENCE = "silence"  # takes requests and never responds
-    SLOW = "slow"  # a third of its speed
-    DRAIN = "drain"  # ends as a deployment does: with a new process
+    CRASH = "crash"  # resets all connections and refuses new ones; ends with a restart in slow start
+    SILENCE = "silence"  # accepts requests and never responds
+    SLOW = "slow"  # runs at a third of its speed
+    DRAIN = "drain"  # rejects new attempts; ends with a new process, as a deployment does
 
 
 @dataclass(frozen=True)
 class Fault:
-    """A fault of one endpoint: begins at `at_s` of the run and lasts `duration_s`."""
+    """A fault of one endpoint. Begins `at_s` after the start of the run and lasts for `duration_s`."""
 
     at_s: float
     kind: FaultKind
-    endpoint: int  # its number in the fleet
+    endpoint: int  # index in the fleet's endpoints
     duration_s: float
 
 
@@ -70,20 +70,20 @@
     reporter.report(endpoint, EndpointStatus.DRAINING)
 
 
-FaultStep = Callable[[EmulatedEndpoint, StatusReporter], Awaitable[None]]
+FaultAction = Callable[[EmulatedEndpoint, StatusReporter], Awaitable[None]]
 
 
 @dataclass(frozen=True)
-class FaultSteps:
-    """What makes a fault begin, and what ends it."""
+class FaultActions:
+    """The actions that begin and end a fault."""
 
-    begin: FaultStep
-    end: FaultStep
+    begin: FaultAction
+    end: FaultAction
 
 
-FAULT_STEPS: dict[FaultKind, FaultSteps] = {
-    FaultKind.CRASH: FaultSteps(_crash, _restart),
-    FaultKind.SILENCE: FaultSteps(_begin_silence, _end_silence),
-    FaultKind.SLOW: FaultSteps(_slow_down, _restore_speed),
-    FaultKind.DRAIN: FaultSteps(_drain, _restart),
+FAULT_ACTIONS: dict[FaultKind, FaultActions] = {
+    FaultKind.CRASH: FaultActions(_crash, _restart),
+    FaultKind.SILENCE: FaultActions(_begin_silence, _end_silence),
+    FaultKind.SLOW: FaultActions(_slow_down, _restore_speed),
+    FaultKind.DRAIN: FaultActions(_drain, _restart),
 }
--- a/alderspool/lab/emulator/http_server.py
+++ b/alderspool/lab/emulator/http_server.py
@@ -1,4 +1,4 @@
-"""The server side of HTTP/1.1 for the emulated services: one request at a time on a connection."""
+"""HTTP/1.1 server codec of the emulated services: one request at a time on a connection."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class HttpRequest:
-    """A complete request; the names of its headers are in lower case."""
+    """A complete request; header names are in lower case."""
 
     method: str
     target: str
@@ -29,31 +29,31 @@
 
 
 class HttpServerCodec(HttpMessageCollector):
-    """Bytes in, complete requests out. `fault` is set once the input is no HTTP, and nothing follows."""
+    """Decodes requests. `fault` is set if the input is invalid or too large; no further requests follow."""
 
     def __init__(self) -> None:
         super().__init__(BODY_LIMIT_BYTES)
         self._parser = httptools.HttpRequestParser(self)
-        self._complete: list[HttpRequest] = []
+        self._completed: list[HttpRequest] = []
 
     def receive(self, data: bytes) -> list[HttpRequest]:
-        """Take what was read from the connection; return the requests that it completes."""
+        """Decode data that was read from the connection; return the requests that it completes."""
         try:
             self.feed(self._parser, data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self.fault = self.fault or HttpFault(HTTPStatus.BAD_REQUEST, str(error))
-        complete = self._complete
-        self._complete = []
-        return complete
+        completed = self._completed
+        self._completed = []
+        return completed
 
     def message_done(self) -> None:
-        """Take up a request that the parser has completed; called by HttpMessageCollector."""
+        """Add a request that the parser has completed; called by HttpMessageCollector."""
         method = self._parser.get_method().decode()
         target = self.target.decode("latin-1")
-        self._complete.append(HttpRequest(method, target, dict(self.headers), self.body))
+        self._completed.append(HttpRequest(method, target, dict(self.headers), self.body))
 
 
 def encode_response(status: int, body: bytes = b"", *header_lines: bytes) -> bytes:
-    """Return a complete response."""
+    """Encode a complete response; the header lines are given without their line ends."""
     lines = b"".join(b"%b\r\n" % line for line in header_lines)
     return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), lines, body)
--- a/alderspool/lab/emulator/loopback_listener.py
+++ b/alderspool/lab/emulator/loopback_listener.py
@@ -1,4 +1,4 @@
-"""A listener on a loopback port that can disappear, as its process does in a crash, and return."""
+"""A listener on a loopback port that can be killed, like a process that crashes, and opened again."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import socket
 import struct
 
-_ACCEPT_QUEUE = 1024
+_LISTEN_BACKLOG = 1024
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, for 0 s
 
 
 class LoopbackListener:
-    """Owns the listening socket and its connections; subclasses define what happens on a connection."""
+    """Owns a listening socket and its connections; subclasses implement `serve` for a connection."""
 
     def __init__(self) -> None:
         self.port = 0  # 0: not opened yet
@@ -25,9 +25,9 @@
         return f"127.0.0.1:{self.port}"
 
     async def open(self) -> None:
-        """Listen: at a free port the first time, and at the same one from then on."""
+        """Start listening, on a free port the first time and on the same port from then on."""
         self._server = await asyncio.start_server(
-            self._connected, "127.0.0.1", self.port, backlog=_ACCEPT_QUEUE
+            self._on_connection, "127.0.0.1", self.port, backlog=_LISTEN_BACKLOG
         )
         self.port = self._server.sockets[0].getsockname()[1]
 
@@ -37,12 +37,12 @@
             self._server.close()
             self._server = None
         for writer in list(self._writers):
-            # Without lingering the kernel sends a reset, as it does for a process that died.
+            # With a linger time of 0, the kernel sends a reset on close, as it does when a process dies.
             connection = writer.get_extra_info("socket")
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             writer.transport.abort()
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
             # Each of these errors means that the peer has disconnected or that the run has ended; either way
--- a/alderspool/lab/emulator/site.py
+++ b/alderspool/lab/emulator/site.py
@@ -1,20 +1,20 @@
-"""The built-in site of the emulator: its classes, tenants and the settings that the proxies are given."""
+"""The built-in setup of the emulator: request classes, endpoint type, zones and settings of the proxies."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from alderspool.lab.emulator.endpoint import ClassWork
+from alderspool.lab.emulator.endpoint import WorkDistribution
 
 WORK_BY_CLASS = {
-    "status-check": ClassWork(30.0),
-    "otp-send": ClassWork(18.0),
-    "batch-submit": ClassWork(36.0),
+    "status-check": WorkDistribution(30.0),
+    "otp-send": WorkDistribution(18.0),
+    "batch-submit": WorkDistribution(36.0),
 }
 ENDPOINT_TYPE = "m2"
 ZONES = ("a", "b")
 
-# In the form and with the names of the platform's settings document.
+# In the format of the platform's settings document, whose names are used here.
 PROXY_SETTINGS: dict[str, Any] = {
     "bounds": {"cancel": True, "may_duplicate": True, "max_attempts": 5, "conn_idle_ms": 10000.0},
     "classes": [
--- a/alderspool/lab/errors.py
+++ b/alderspool/lab/errors.py
@@ -4,8 +4,8 @@
 
 
 class InputError(Exception):
-    """The input is unusable; the message names the file, the key and the reason. Exit status 2."""
+    """The input is invalid; the message names its source and the reason. Exit status 2."""
 
 
 class RunError(Exception):
-    """The run has no result. Exit status 1."""
+    """The run failed and has no result. Exit status 1."""
--- a/tests/test_lab_emulator.py
+++ b/tests/test_lab_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator on real sockets: what clients see of each fault, and the fleet with a real proxy."""
+"""Tests of the emulator on real sockets: what clients see of each fault, and a fleet with a real proxy."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from rig import NOT_RUN, read_message, real
 
 from alderspool.lab.emulator.discovery import EmulatedDiscovery
-from alderspool.lab.emulator.endpoint import ClassWork, EmulatedEndpoint, EndpointIdentity
+from alderspool.lab.emulator.endpoint import EmulatedEndpoint, EndpointIdentity, WorkDistribution
 from alderspool.lab.emulator.faults import Fault, FaultKind
 from alderspool.lab.emulator.fleet import Fleet, FleetPlan
 from alderspool.lab.errors import InputError
@@ -23,7 +23,7 @@
 from alderspool.lab.models.endpoint import OfferResult
 from alderspool.lab.models.endpoint_profile import EndpointProfile
 
-assert b"X-Not-Run: 1" in NOT_RUN  # by which the proxy knows that an attempt did not run
+assert b"X-Not-Run: 1" in NOT_RUN  # the header that tells the proxy that an attempt did not run
 
 
 def make_endpoint(
@@ -32,7 +32,7 @@
     return EmulatedEndpoint(
         EndpointIdentity("s-1"),
         EndpointProfile(**profile),
-        {"look": ClassWork(work, 0.01)},
+        {"look": WorkDistribution(work, 0.01)},
         np.random.default_rng(1),
         deduplication,
     )
@@ -65,13 +65,16 @@
     endpoint = make_endpoint(work=50.0)
     await endpoint.open()
     reader, writer = await connect(endpoint.port)
-    for request_id in ("a", "b"):  # one after the other on one connection
-        began = time.monotonic()
+    for request_id in ("a", "b"):  # in turn on one connection
+        started_at = time.monotonic()
         writer.write(get(request_id))
         line, _, body = await read_message(reader)
         assert b"200" in line and json.loads(body) == {"id": request_id, "node": "s-1"}
-        assert time.monotonic() - began > 0.04
-    assert [(record.request_id, record.has_run) for record in endpoint.records] == [("a", True), ("b", True)]
+        assert time.monotonic() - started_at > 0.04
+    assert [(record.request_id, record.is_completed) for record in endpoint.records] == [
+        ("a", True),
+        ("b", True),
+    ]
     assert (await send(endpoint.port, get("")))[0] == 404
     assert (await send(endpoint.port, get("c", "/nothing/1")))[0] == 400
     assert (await send(endpoint.port, get("", "/health")))[0] == 200
@@ -79,7 +82,7 @@
 
 
 @real
-async def test_full_or_draining_endpoint_states_that_nothing_ran() -> None:
+async def test_full_or_draining_endpoint_responds_with_the_not_run_header() -> None:
     endpoint = make_endpoint(work=5000.0, cores=1, max_running=1, max_queued=0)
     await endpoint.open()
     _, writer = await connect(endpoint.port)
@@ -97,7 +100,7 @@
         OfferResult.REJECTED_FULL,
         OfferResult.REJECTED_DRAINING,
     ]
-    assert not any(record.has_run for record in endpoint.records)
+    assert not any(record.is_completed for record in endpoint.records)
     endpoint.kill()
 
 
@@ -112,12 +115,12 @@
     writer.close()
     while endpoint.model.attempt_count:
         await asyncio.sleep(0.001)
-    assert not endpoint.records[0].has_run
+    assert not endpoint.records[0].is_completed
     endpoint.kill()
 
 
 @real
-async def test_silent_endpoint_accepts_and_never_responds() -> None:
+async def test_silent_endpoint_accepts_requests_and_never_responds() -> None:
     endpoint = make_endpoint(work=1.0)
     await endpoint.open()
     endpoint.model.is_silent = True
@@ -133,7 +136,7 @@
 
 
 @real
-async def test_crash_resets_connections_and_restart_is_cold_at_the_same_port() -> None:
+async def test_crash_resets_connections_and_restart_begins_slow_start_on_the_same_port() -> None:
     endpoint = make_endpoint(work=60_000.0, slow_start_ms=60_000.0)
     await endpoint.open()
     port = endpoint.port
@@ -158,21 +161,21 @@
     endpoint = make_endpoint(work=60.0)
     await endpoint.open()
     endpoint.model.slowdown = 3.0
-    began = time.monotonic()
+    started_at = time.monotonic()
     await send(endpoint.port, get())
-    assert time.monotonic() - began > 0.15
+    assert time.monotonic() - started_at > 0.15
     endpoint.kill()
 
 
 @real
-async def test_duplicate_within_the_scope_is_answered_without_running() -> None:
+async def test_duplicate_within_the_scope_gets_a_response_without_running() -> None:
     scope = DeduplicationScope()
     endpoints = [make_endpoint(scope, work=1.0), make_endpoint(scope, work=1.0)]
     for endpoint in endpoints:
         await endpoint.open()
         assert (await send(endpoint.port, get("r", "/look/1", "Idempotency-Key: k")))[0] == 200
     assert [
-        (record.offer_result, record.has_run) for endpoint in endpoints for record in endpoint.records
+        (record.offer_result, record.is_completed) for endpoint in endpoints for record in endpoint.records
     ] == [(OfferResult.ACCEPTED, True), (OfferResult.DUPLICATE, False)]
     for endpoint in endpoints:
         endpoint.kill()
@@ -222,8 +225,9 @@
         for cls in ("status-check", "otp-send", "batch-submit"):
             status, _, body = await send(port, client_request(cls, f"1{cls}"))
             assert status == 200 and json.loads(body)["id"] == f"1{cls}"
-        faults = asyncio.create_task(fleet.play_faults())
-        await asyncio.sleep(0.35)  # listed at once; the rule allows 250 ms
+        faults = asyncio.create_task(fleet.inject_faults())
+        # The draining status is listed immediately, and drain_grace_ms allows the proxy 250 ms to react.
+        await asyncio.sleep(0.35)
         count = len(fleet.endpoints[0].records)
         for i in range(12):
             assert (await send(port, client_request("status-check", f"2{i}")))[0] == 200
@@ -234,25 +238,25 @@
 
 
 @real
-async def test_rejects_unknown_faults_before_any_begins() -> None:
+async def test_rejects_unknown_faults_before_any_fault_begins() -> None:
     fleet = Fleet(FleetPlan(endpoints=2, faults=(Fault(0.0, "flood", 0, 1.0),)))
     with pytest.raises(InputError, match="kinds are crash"):
-        await fleet.play_faults()
+        await fleet.inject_faults()
     fleet.plan.faults = (Fault(0.0, FaultKind.CRASH, 2, 1.0),)
     with pytest.raises(InputError, match="endpoints 0 to 1"):
-        await fleet.play_faults()
+        await fleet.inject_faults()
 
 
-def test_demo_plays_its_faults_and_prints_a_summary() -> None:
+def test_demo_injects_its_faults_and_prints_a_summary() -> None:
     command = [sys.executable, "-m", "alderspool", "lab", "demo", "--seconds", "4", "--json"]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
-    assert done.returncode in (0, 3), done.stderr
-    summary = json.loads(done.stdout)
+    result = subprocess.run(command, capture_output=True, text=True, timeout=60, check=False)
+    assert result.returncode in (0, 3), result.stderr
+    summary = json.loads(result.stdout)
     assert summary["answered"] == summary["planned"] > 600
     assert summary["outcomes"]["served"] > 0.9 * summary["planned"]
     for text in ("s-01: silence", "s-01: silence over", "s-02: crash", "s-02: crash over"):
-        assert text in done.stderr.splitlines()
-    assert "Traceback" not in done.stderr
+        assert text in result.stderr.splitlines()
+    assert "Traceback" not in result.stderr
 
 
 def test_interrupt_ends_the_demo_and_leaves_no_process() -> None:
@@ -260,18 +264,18 @@
     demo = subprocess.Popen(command, stderr=subprocess.PIPE, text=True, start_new_session=True)
     while "6 endpoints" not in (line := demo.stderr.readline()):
         assert line
-    while len(before := processes(str(demo.pid))) < 3:  # itself, the proxy, a worker
+    while len(demo_processes := processes(str(demo.pid))) < 3:  # the demo itself, the proxy and a load worker
         time.sleep(0.01)
     demo.send_signal(signal.SIGINT)
     assert demo.wait(timeout=20) == 1
-    until = time.monotonic() + 20
-    while left := before & processes():
-        assert time.monotonic() < until, left
+    timeout_at = time.monotonic() + 20
+    while still_running := demo_processes & processes():
+        assert time.monotonic() < timeout_at, still_running
         time.sleep(0.01)
 
 
 def processes(parent: str | None = None) -> set[tuple[str, str]]:
-    """Return pid and command line of all processes, or of one process and its children."""
-    done = subprocess.run(["ps", "-eo", "pid,ppid,stat,args"], capture_output=True, text=True, check=False)
-    rows = [line.split(None, 3) for line in done.stdout.splitlines()[1:]]
+    """Return PID and command line of all processes, or of one process and its children, without zombies."""
+    result = subprocess.run(["ps", "-eo", "pid,ppid,stat,args"], capture_output=True, text=True, check=False)
+    rows = [line.split(None, 3) for line in result.stdout.splitlines()[1:]]
     return {(pid, args) for pid, ppid, stat, args in rows if parent in (None, pid, ppid) and stat[0] != "Z"}
