--- a/alderspool/lab/emulator/endpoint.py
+++ b/alderspool/lab/emulator/endpoint.py
@@ -26,7 +26,7 @@
 
 NOT_RUN_HEADER = b"X-Not-Run: 1"
 HEALTH_TARGETS = ("/health", "/status/load")
-_KEY_BYTES = 8  # a key is made of this many bytes at the end of the target
+_KEY_BYTES = 8  # number of bytes at the end of a target that form its key
 
 
 @dataclass(frozen=True)
@@ -169,7 +169,7 @@
     async def _respond_on_completion(
         self, attempt: EndpointAttempt, record: AttemptRecord, reader: asyncio.StreamReader
     ) -> bytes | None:
-        """Return the response after the attempt; None if the client disconnects or the endpoint crashes."""
+        """Wait for the attempt; return the response, or None if the client or the endpoint disconnects."""
         self._pending_statuses[attempt.id] = asyncio.get_running_loop().create_future()
         self._reschedule()
         status = await self._wait_for_status(attempt.id, reader)
@@ -180,7 +180,10 @@
         return self._encode_success(record) if status == HTTPStatus.OK else encode_response(status)
 
     async def _wait_for_status(self, attempt_id: int, reader: asyncio.StreamReader) -> HTTPStatus | None:
-        """Wait for the status of an attempt; cancel it and return None if the client disconnects."""
+        """Wait for an attempt and return its status.
+
+        If the client disconnects or the endpoint crashes before, cancel the attempt and return None.
+        """
         status = self._pending_statuses[attempt_id]
         # The client sends nothing more while its request is outstanding: the read ends when it disconnects.
         disconnected = asyncio.ensure_future(reader.read(1))
@@ -226,5 +229,5 @@
 
 
 def key_from_target(target: str) -> int:
-    """Return the key of a request: a number that, unlike a hash, is the same in every process."""
+    """Return the key of a request: a number that, unlike `hash()`, is the same in every process."""
     return int.from_bytes(target.encode()[-_KEY_BYTES:], "big")
--- a/alderspool/lab/models/endpoint.py
+++ b/alderspool/lab/models/endpoint.py
@@ -39,7 +39,7 @@
     """An attempt that is sent to an endpoint."""
 
     id: int
-    work: float
+    work: float  # in ms of one core of speed 1
     key: int = -1  # key of the request in the key cache; -1: none
     idempotency_key: str | None = None
     work_left: float = 0.0
@@ -107,7 +107,7 @@
         self.connections = 0
         self.utilisation = 0.0  # moving average of the share of busy cores
         self.work_done = 0.0
-        self.work_wasted = 0.0  # work on running attempts that was left when they were cancelled
+        self.work_wasted = 0.0  # work left of running attempts when they were cancelled
 
     # ---- process and connections -----------------------------------------------------------------
 
