--- a/alderspool/lab/commands.py
+++ b/alderspool/lab/commands.py
@@ -30,7 +30,7 @@
     seconds: float | None
     seed: int | None
 
-    def plan(self) -> Plan:
+    def create_plan(self) -> Plan:
         """Create the plan. Raises InputError for invalid input."""
         traffic = with_overrides(
             read_traffic(self.traffic_file), rate=self.rate, seconds=self.seconds, seed=self.seed
@@ -44,7 +44,7 @@
     url: str, load_input: LoadInput, worker_count: int, output_folder: Path | None, *, show_progress: bool
 ) -> Result:
     """Send load to the URL, write the result to `output_folder` unless that is None, and return it."""
-    plan = load_input.plan()
+    plan = load_input.create_plan()
     with progress(len(plan), quiet=not show_progress or not sys.stderr.isatty()) as on_progress:
         result = workers.run(url, plan, worker_count, on_progress)
     if output_folder is not None:
