--- a/alderspool/lab/emulator/discovery.py
+++ b/alderspool/lab/emulator/discovery.py
@@ -52,7 +52,7 @@
         while data := await reader.read(READ_SIZE_BYTES):
             for request in codec.receive(data):
                 writer.write(await self._respond(request.target))
-            if codec.fault is not None:
+            if codec.failure is not None:
                 return
 
     async def _respond(self, target: str) -> bytes:
--- a/alderspool/lab/emulator/endpoint.py
+++ b/alderspool/lab/emulator/endpoint.py
@@ -124,7 +124,7 @@
                     if response is None:
                         return
                     writer.write(response)
-                if codec.fault is not None:
+                if codec.failure is not None:
                     return
         finally:
             self.model.disconnect()
--- a/alderspool/lab/emulator/http_server.py
+++ b/alderspool/lab/emulator/http_server.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-from alderspool.protocol.http_parts import HttpFault, HttpMessageCollector
+from alderspool.protocol.http_parts import CodecFailure, HttpMessageCollector
 
 BODY_LIMIT_BYTES = 64 * 1024
 READ_SIZE_BYTES = 64 * 1024
@@ -29,7 +29,7 @@
 
 
 class HttpServerCodec(HttpMessageCollector):
-    """Bytes in, complete requests out. `fault` is set once the input is no HTTP, and nothing follows."""
+    """Bytes in, complete requests out. `failure` is set once the input is no HTTP, and nothing follows."""
 
     def __init__(self) -> None:
         super().__init__(BODY_LIMIT_BYTES)
@@ -41,7 +41,7 @@
         try:
             self.feed(self._parser, data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self.fault = self.fault or HttpFault(HTTPStatus.BAD_REQUEST, str(error))
+            self.failure = self.failure or CodecFailure(HTTPStatus.BAD_REQUEST, str(error))
         complete = self._complete
         self._complete = []
         return complete
--- a/alderspool/program/flattening.py
+++ b/alderspool/program/flattening.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from alderspool.protocol.endpoint_list import as_setting
+from alderspool.protocol.endpoint_list import to_settings_name
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
@@ -39,4 +39,4 @@
         return ""
     if isinstance(value, bool):
         return "true" if value else "false"
-    return as_setting(str(value))
+    return to_settings_name(str(value))
--- a/alderspool/protocol/client_messages.py
+++ b/alderspool/protocol/client_messages.py
@@ -55,7 +55,7 @@
     headers: Headers
 
 
-def as_http(final: FinalResponse) -> ClientResponse:
+def as_client_response(final: FinalResponse) -> ClientResponse:
     """Return a request's final response in HTTP."""
     if isinstance(final, Served):
         upstream_response: UpstreamResponse = final.payload
--- a/alderspool/protocol/downstream.py
+++ b/alderspool/protocol/downstream.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from alderspool.protocol.client_messages import InvalidRequest, RawRequest, ReadinessQuery, as_http
+from alderspool.protocol.client_messages import InvalidRequest, RawRequest, ReadinessQuery, as_client_response
 from alderspool.protocol.http_server import CONTINUE, NEED_DATA, PAUSED, HttpServerCodec
 from alderspool.protocol.request_reader import RequestReader
 
@@ -15,5 +15,5 @@
     "RawRequest",
     "ReadinessQuery",
     "RequestReader",
-    "as_http",
+    "as_client_response",
 ]
--- a/alderspool/protocol/endpoint_list.py
+++ b/alderspool/protocol/endpoint_list.py
@@ -65,7 +65,7 @@
 _decoder = msgspec.json.Decoder(EndpointListDoc)
 
 
-def as_setting(name: str) -> str:
+def to_settings_name(name: str) -> str:
     """Return a name as it is written in the settings, which allow neither blanks nor commas."""
     return name.replace(" ", "_").replace(",", "_")
 
@@ -117,7 +117,7 @@
     A name that the settings do not have gets a number of its own, the same each time. If two unknown zones
     were equal, a retry that is allowed within a zone could be sent from the one to the other.
     """
-    name = as_setting(name)
+    name = to_settings_name(name)
     if name in known_names:
         return known_names.index(name)
     return len(known_names) + crc32(name.encode())
--- a/alderspool/protocol/http_client.py
+++ b/alderspool/protocol/http_client.py
@@ -10,11 +10,11 @@
 
 import httptools
 
-from alderspool.protocol.http_parts import HttpFault, HttpMessageCollector
+from alderspool.protocol.http_parts import CodecFailure, HttpMessageCollector
 
 MAX_INTERIM_RESPONSES = 8  # in front of a response; without a limit they could occupy its connection for ever
 FIRST_FINAL_STATUS = 200  # statuses below are interim
-TOO_MANY_INTERIM_RESPONSES = HttpFault(502, "too many interim responses")
+TOO_MANY_INTERIM_RESPONSES = CodecFailure(502, "too many interim responses")
 _LENGTH_HEADERS = (b"content-length", b"transfer-encoding")
 
 
@@ -76,12 +76,12 @@
             self.reusable = False
             if self._response is None:
                 raise BrokenResponseError(str(error)) from None
-        if self._response is None and self.fault is not None:
-            raise BrokenResponseError(self.fault.reason)
+        if self._response is None and self.failure is not None:
+            raise BrokenResponseError(self.failure.reason)
         return self._take_response()
 
     def _end_stream(self, is_reset: bool) -> None:
-        if is_reset or not self._ends_with_stream or self.fault is not None:
+        if is_reset or not self._ends_with_stream or self.failure is not None:
             raise BrokenResponseError("the connection ended")
         self.message_done()
 
@@ -103,7 +103,7 @@
         if self._status < FIRST_FINAL_STATUS:
             self._interim_count += 1
             if self._interim_count > MAX_INTERIM_RESPONSES:
-                self.fault = TOO_MANY_INTERIM_RESPONSES
+                self.failure = TOO_MANY_INTERIM_RESPONSES
         elif not any(name in _LENGTH_HEADERS for name, _ in self.headers):
             self._ends_with_stream = self._awaits_response
             self.reusable = False
@@ -112,7 +112,7 @@
 
     def message_done(self) -> None:
         """Store the response, unless it is an interim or unsolicited one or exceeds a limit."""
-        if self._awaits_response and self._status >= FIRST_FINAL_STATUS and self.fault is None:
+        if self._awaits_response and self._status >= FIRST_FINAL_STATUS and self.failure is None:
             self._awaits_response = False
             self._ends_with_stream = False
             self._response = HttpResponse(self._status, dict(self.headers), self.body)
--- a/alderspool/protocol/http_parts.py
+++ b/alderspool/protocol/http_parts.py
@@ -15,15 +15,15 @@
 Headers = list[tuple[bytes, bytes]]
 
 
-class HttpFault(NamedTuple):
+class CodecFailure(NamedTuple):
     """Why a connection can carry no further message: the status to respond with, and the reason in words."""
 
     status: int
     reason: str
 
 
-HEAD_TOO_LARGE = HttpFault(431, "head over 16 KiB")
-BODY_TOO_LARGE = HttpFault(413, "body over the limit")
+HEAD_TOO_LARGE = CodecFailure(431, "head over 16 KiB")
+BODY_TOO_LARGE = CodecFailure(413, "body over the limit")
 
 
 class HttpParser(Protocol):
@@ -45,8 +45,8 @@
 
     def __init__(self, body_limit: int) -> None:
         """Limit each body to so many bytes."""
-        self.fault: HttpFault | None = None
-        self.begun = False  # part of a message has been read, its end has not
+        self.failure: CodecFailure | None = None
+        self.message_started = False  # part of a message has been read, its end has not
         self.head_whole = False  # the same, and its head is complete
         self.target = b""
         self.headers: Headers = []
@@ -65,13 +65,13 @@
             return
         self._incomplete_head_size += len(data)
         if self._incomplete_head_size > HEAD_LIMIT_BYTES:  # a head without end, or empty lines before it
-            self.fault = self.fault or HEAD_TOO_LARGE
+            self.failure = self.failure or HEAD_TOO_LARGE
 
     # ---- called by httptools -----------------------------------------------------------------------
 
     def on_message_begin(self) -> None:
         """Start a new message."""
-        self.begun = True
+        self.message_started = True
         self.head_whole = False
         self.target = b""
         self.headers = []
@@ -95,25 +95,25 @@
         self.head_whole = True
         head_size = sum(len(name) + len(value) for name, value in self.headers) + len(self.target)
         if head_size > HEAD_LIMIT_BYTES:
-            self.fault = self.fault or HEAD_TOO_LARGE
+            self.failure = self.failure or HEAD_TOO_LARGE
         for name, value in self.headers:
             if name == b"content-length" and int(value) > self._body_limit:
-                self.fault = self.fault or BODY_TOO_LARGE
+                self.failure = self.failure or BODY_TOO_LARGE
         self.head_done()
 
     def on_body(self, part: bytes) -> None:
         """Add a part of the body."""
         self._body_size += len(part)
         if self._body_size > self._body_limit:
-            self.fault = self.fault or BODY_TOO_LARGE
-        if self.fault is None:
+            self.failure = self.failure or BODY_TOO_LARGE
+        if self.failure is None:
             self._parts.append(part)
 
     def on_message_complete(self) -> None:
         """End the message."""
         self.message_done()
         self._message_count += 1
-        self.begun = False
+        self.message_started = False
         self.head_whole = False
 
     @property
--- a/alderspool/protocol/http_server.py
+++ b/alderspool/protocol/http_server.py
@@ -11,8 +11,8 @@
 
 import httptools
 
-from alderspool.protocol.client_messages import ClientResponse, InvalidRequest, RawRequest, as_http
-from alderspool.protocol.http_parts import Headers, HttpFault, HttpMessageCollector
+from alderspool.protocol.client_messages import ClientResponse, InvalidRequest, RawRequest, as_client_response
+from alderspool.protocol.http_parts import Headers, CodecFailure, HttpMessageCollector
 from alderspool.protocol.upstream import BODY_LIMIT
 from alderspool.routing.messages import Rejected
 
@@ -90,7 +90,7 @@
         """
         self._received_at_s = received_at_s
         self._earliest_arrival_s = received_at_s if earliest_arrival_s is None else earliest_arrival_s
-        while data and self.fault is None:
+        while data and self.failure is None:
             try:
                 self.feed(self._parser, data)
                 return
@@ -99,7 +99,7 @@
                 data = data[int(upgrade.args[0]) :]
                 self._parser = httptools.HttpRequestParser(self)
             except httptools.HttpParserError as fault:
-                self.fault = HttpFault(400, str(fault))
+                self.failure = CodecFailure(400, str(fault))
 
     def head_done(self) -> None:
         """Check the version and Host of a request whose head is complete."""
@@ -107,12 +107,12 @@
         version = self._parser.get_http_version()
         self._is_http_1_1 = version == "1.1"
         if version not in ("1.0", "1.1") or (self._is_http_1_1 and b"host" not in names):
-            self.fault = self.fault or HttpFault(400, "no HTTP/1.1, or without Host")
+            self.failure = self.failure or CodecFailure(400, "no HTTP/1.1, or without Host")
         self._expects_continue = b"expect" in names and (b"expect", b"100-continue") in self.headers
 
     def message_done(self) -> None:
         """Collect a request that is complete."""
-        if self.fault is None:
+        if self.failure is None:
             method = self._parser.get_method()
             keep = self._parser.should_keep_alive() and self._is_http_1_1
             request = RawRequest(
@@ -134,8 +134,8 @@
                 return PAUSED
             self._in_progress = self._complete.popleft()
             return self._in_progress
-        if self.fault is not None:
-            return self._next_fault(self.fault)
+        if self.failure is not None:
+            return self._next_fault(self.failure)
         if self._expects_continue and not self._parts and self._in_progress is None:
             return CONTINUE
         return NEED_DATA
@@ -151,7 +151,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request is in progress and nothing of a further one has been received."""
-        return not (self.begun or self._complete or self._in_progress or self.fault)
+        return not (self.message_started or self._complete or self._in_progress or self.failure)
 
     @property
     def has_complete_request(self) -> bool:
@@ -161,15 +161,15 @@
     @property
     def has_further_input(self) -> bool:
         """Whether something has been received behind the request in progress."""
-        return bool(self.begun or self._complete)
+        return bool(self.message_started or self._complete)
 
     def time_out(self) -> InvalidRequest | None:
         """Give up a request that is not complete in time; return the error that its client is to get."""
         if self._in_progress is not None or self._fault_returned:
             return None
-        self.fault = HttpFault(408, "request not whole in time")
+        self.failure = CodecFailure(408, "request not whole in time")
         self._fault_returned = True
-        return InvalidRequest(*self.fault)
+        return InvalidRequest(*self.failure)
 
     def compose_continue(self) -> bytes:
         """Return the interim response to `Expect: 100-continue`."""
@@ -183,7 +183,7 @@
         """
         request = self._in_progress
         self._in_progress = None
-        close = close or self.fault is not None or request is None or not request.keep
+        close = close or self.failure is not None or request is None or not request.keep
         parts = [STATUS_LINES.get(status) or status_line(status)]
         for name, value in headers:
             parts += (name, b": ", value, b"\r\n")
@@ -202,4 +202,4 @@
 
 
 # The response on a connection for which the proxy has no descriptor left, whatever its request is.
-CONNECTION_REJECTED = compose_closing(as_http(Rejected()))
+CONNECTION_REJECTED = compose_closing(as_client_response(Rejected()))
--- a/alderspool/protocol/request_reader.py
+++ b/alderspool/protocol/request_reader.py
@@ -9,7 +9,7 @@
 
 from alderspool.balancer.settings import Idempotency, Settings
 from alderspool.protocol.client_messages import InvalidRequest, RawRequest, ReadinessQuery
-from alderspool.protocol.endpoint_list import as_setting
+from alderspool.protocol.endpoint_list import to_settings_name
 from alderspool.protocol.http_parts import Headers
 from alderspool.protocol.upstream import HOP_BY_HOP, ForwardedRequest
 from alderspool.routing.messages import ClientRequest
@@ -33,9 +33,9 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        self._class_indexes = {as_setting(c.name): index for index, c in enumerate(settings.classes)}
+        self._class_indexes = {to_settings_name(c.name): index for index, c in enumerate(settings.classes)}
         self._idempotency = [c.idempotency for c in settings.classes]
-        self._tenant_indexes = {as_setting(t.name): index for index, t in enumerate(settings.tenants)}
+        self._tenant_indexes = {to_settings_name(t.name): index for index, t in enumerate(settings.tenants)}
 
     def read(self, raw: RawRequest) -> ClientRequest | InvalidRequest | ReadinessQuery:
         """Return what a raw request is; never raises for what a client can send."""
@@ -45,7 +45,7 @@
         path_parts = path.split(b"/")
         class_name = ""
         if len(path_parts) > 1 and not path_parts[0]:
-            class_name = as_setting(path_parts[1].decode("latin-1"))
+            class_name = to_settings_name(path_parts[1].decode("latin-1"))
         class_index = self._class_indexes.get(class_name)
         if class_index is None:
             return InvalidRequest(404, "unknown path")
@@ -75,7 +75,7 @@
     ) -> ClientRequest | InvalidRequest:
         tenant: int | None = 0
         if self._tenant_indexes:
-            tenant = self._tenant_indexes.get(as_setting(values.get(b"x-tenant", b"").decode("latin-1")))
+            tenant = self._tenant_indexes.get(to_settings_name(values.get(b"x-tenant", b"").decode("latin-1")))
         fault = self._find_header_fault(class_index, class_name, tenant, values)
         if fault is None and raw.body and raw.method == b"GET":
             fault = "a GET with a body"
@@ -96,7 +96,7 @@
     def _find_header_fault(
         self, class_index: int, class_name: str, tenant: int | None, values: dict[bytes, bytes]
     ) -> str | None:
-        if as_setting(values.get(b"x-class", b"").decode("latin-1")) != class_name:
+        if to_settings_name(values.get(b"x-class", b"").decode("latin-1")) != class_name:
             return "X-Class: missing, unknown or not the path's"
         if tenant is None:
             return "X-Tenant: missing or unknown"
--- a/alderspool/transport/client_connection.py
+++ b/alderspool/transport/client_connection.py
@@ -10,7 +10,7 @@
 import contextlib
 from typing import Protocol
 
-from alderspool.protocol.client_messages import ClientResponse, as_http, invalid_request_as_http
+from alderspool.protocol.client_messages import ClientResponse, as_client_response, invalid_request_as_http
 from alderspool.protocol.http_server import HttpServerCodec
 from alderspool.routing.messages import FinalResponse
 from alderspool.transport import lingering_close
@@ -160,7 +160,7 @@
     def respond(self, final: FinalResponse) -> None:
         """Send the final response to the pending request."""
         self.request_id = 0
-        self.send(as_http(final))
+        self.send(as_client_response(final))
 
     def send(self, response: ClientResponse, is_last: bool = False) -> None:
         """Send a response; `is_last`: nothing that follows on this connection is to be read.
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -91,7 +91,7 @@
         (connection,) = new
         if sent == READY:
             await read_message(reader)
-        while sent and not (connection.has_responded or connection.codec.begun):
+        while sent and not (connection.has_responded or connection.codec.message_started):
             await asyncio.sleep(0)
         return reader, writer
 
@@ -114,7 +114,7 @@
     for kind, _, _, writer in clients:
         if kind == "served, partial":
             writer.write(READY[:10])
-    while sum(connection.codec.begun for connection in proxy.connections) < 4:
+    while sum(connection.codec.message_started for connection in proxy.connections) < 4:
         await asyncio.sleep(0)
     evicted = []
     while proxy.connections.evict_one():
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -20,7 +20,7 @@
     RawRequest,
     ReadinessQuery,
     RequestReader,
-    as_http,
+    as_client_response,
 )
 from alderspool.protocol.duplicate_responses import (
     DUPLICATE_WINDOW_S,
@@ -195,7 +195,7 @@
     ("response", "status", "header"), FINAL_RESPONSES.values(), ids=FINAL_RESPONSES.keys()
 )
 def test_composes_final_responses(response: object, status: int, header: tuple[bytes, bytes] | None) -> None:
-    sent_status, _, headers = as_http(response)
+    sent_status, _, headers = as_client_response(response)
     assert sent_status == status
     if header is None:
         assert all(name != b"Retry-After" for name, _ in headers)
