--- a/alderspool/protocol/__init__.py
+++ b/alderspool/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 and JSON as values in and values out: no policy, no sockets."""
+"""Encoding and decoding of HTTP/1.1 messages and of discovery's JSON. No I/O and no routing decisions."""
--- a/alderspool/protocol/client_messages.py
+++ b/alderspool/protocol/client_messages.py
@@ -1,7 +1,7 @@
-"""Messages between the parts of the client side: requests as received, invalid requests, responses to send.
+"""Data types of the client side: received requests, invalid requests, and responses to send.
 
-Values only: they are read by `request_reader`, produced and encoded by `http_server`, and passed on by the
-transport.
+`http_server` decodes requests and encodes responses, `request_reader` validates the requests, and the
+transport passes these values between them and the exchange.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 
 @dataclass(slots=True)
 class RawRequest:
-    """A complete request as received, not yet interpreted.
+    """A complete request as received, not yet validated.
 
-    The two times are seconds on the clock of the caller of `HttpServerCodec.receive`.
+    Both times are in seconds, on the clock that the caller of `HttpServerCodec.receive` uses.
     """
 
     method: bytes
     target: bytes
     headers: Headers
     body: bytes
-    keep: bool = True  # the client goes on using the connection
-    received_at_s: float = 0.0  # when its last byte arrived
-    earliest_arrival_s: float = 0.0  # it may have arrived as early as this
+    keep_alive: bool = True  # the client keeps the connection open for further requests
+    received_at_s: float = 0.0  # arrival of the last byte
+    earliest_arrival_s: float = 0.0  # lower bound of `received_at_s`
 
 
 @dataclass(slots=True)
 class InvalidRequest:
-    """An invalid request: the proxy responds to it itself, and neither forwards nor counts it."""
+    """An invalid request. The proxy responds with an error and neither forwards nor counts the request."""
 
     status: int
-    why: str
+    reason: str
     headers: Headers = field(default_factory=list)
 
 
 class ReadinessQuery:
-    """GET /ready: whether this proxy can serve."""
+    """A GET /ready request, which asks whether this proxy can serve requests."""
 
 
 class ClientResponse(NamedTuple):
@@ -56,7 +56,7 @@
 
 
 def as_client_response(final: FinalResponse) -> ClientResponse:
-    """Return a request's final response in HTTP."""
+    """Convert the final response to a request to HTTP."""
     if isinstance(final, Served):
         upstream_response: UpstreamResponse = final.payload
         content_type = upstream_response.content_type
@@ -73,7 +73,7 @@
 
 def invalid_request_as_http(invalid: InvalidRequest) -> ClientResponse:
     """Return the response to an invalid request."""
-    return ClientResponse(invalid.status, error_body(invalid.why), [*invalid.headers, JSON_CONTENT_TYPE])
+    return ClientResponse(invalid.status, error_body(invalid.reason), [*invalid.headers, JSON_CONTENT_TYPE])
 
 
 def readiness_as_http(is_ready: bool) -> ClientResponse:
@@ -83,6 +83,6 @@
     return ClientResponse(503, error_body("not ready"), [])
 
 
-def error_body(why: str) -> bytes:
-    """Return the JSON body of a response that is not an endpoint's."""
-    return msgspec.json.encode({"error": why}) + b"\n"
+def error_body(reason: str) -> bytes:
+    """Return the JSON body of an error response that the proxy itself creates."""
+    return msgspec.json.encode({"error": reason}) + b"\n"
--- a/alderspool/protocol/http_client.py
+++ b/alderspool/protocol/http_client.py
@@ -38,9 +38,9 @@
     sign that it may not: `Connection: close`, a response that ends with the stream, bytes behind a response.
     """
 
-    def __init__(self, body_limit: int) -> None:
+    def __init__(self, body_limit_bytes: int) -> None:
         """Limit the body of each response to so many bytes."""
-        super().__init__(body_limit)
+        super().__init__(body_limit_bytes)
         self.reusable = True
         self._parser = httptools.HttpResponseParser(self)
         self._response: HttpResponse | None = None  # complete, not yet returned
--- a/alderspool/protocol/http_parts.py
+++ b/alderspool/protocol/http_parts.py
@@ -1,10 +1,11 @@
-"""Assembly of HTTP/1.1 messages from the callbacks of a parser, within size limits. No I/O.
+"""Assembles HTTP/1.1 messages from the callbacks of httptools, within size limits. No I/O.
 
-Shared by both directions: `http_client` reads responses, `downstream` reads requests.
+Shared by both directions: `http_server` reads requests, `http_client` reads responses.
 
-The parser is httptools (llhttp) in its strict mode. It rejects what two readers could understand differently,
-such as Content-Length beside Transfer-Encoding, differing or malformed lengths, folded headers and bare line
-feeds. What it leaves to its user is done here: limits on heads and bodies, and trailers kept apart.
+httptools (llhttp) runs in strict mode and rejects ambiguous messages, which could be used for request
+smuggling: Content-Length together with Transfer-Encoding, differing or malformed lengths, folded headers and
+bare line feeds. It neither limits the size of heads and bodies nor separates trailers from headers; this
+module does both.
 """
 
 from __future__ import annotations
@@ -16,7 +17,10 @@
 
 
 class CodecFailure(NamedTuple):
-    """Why a connection can carry no further message: the status to respond with, and the reason in words."""
+    """Why no further message can be read from a connection.
+
+    `status` is the HTTP status to respond with, `reason` the text of the error.
+    """
 
     status: int
     reason: str
@@ -27,44 +31,48 @@
 
 
 class HttpParser(Protocol):
-    """A parser of httptools, for requests or for responses."""
+    """The interface that HttpRequestParser and HttpResponseParser of httptools have in common."""
 
     def feed_data(self, data: bytes) -> None:
-        """Parse some bytes; calls the `on_` methods of the collector."""
+        """Parse data; calls the `on_` methods of the collector."""
 
 
 class HttpMessageCollector:
-    """Collects the messages of one connection, one after the other.
+    """Collects the messages of one connection, one at a time.
 
-    The first limit that is exceeded sets `fault`. From then on no body is collected any more, so that a
-    sender without end cannot fill the memory. `headers`, `target` and `body` are those of the present or last
-    message.
+    `failure` is set when a limit is exceeded, or by a subclass. From then on body data is discarded, so that
+    an endless body cannot exhaust the memory. `headers`, `target` and `body` belong to the current message,
+    or to the last one between messages.
 
     Subclasses own the parser, pass it to `feed`, and override `head_done` and `message_done`.
     """
 
-    def __init__(self, body_limit: int) -> None:
-        """Limit each body to so many bytes."""
+    def __init__(self, body_limit_bytes: int) -> None:
+        """Create a collector that limits each body to `body_limit_bytes`."""
         self.failure: CodecFailure | None = None
-        self.message_started = False  # part of a message has been read, its end has not
-        self.head_whole = False  # the same, and its head is complete
+        self.message_started = False  # a message has started and is not complete
+        self.head_complete = False  # a message has started, and its head is complete but the message is not
         self.target = b""
         self.headers: Headers = []
-        self._parts: list[bytes] = []  # of the body
-        self._body_limit = body_limit
-        self._body_size = 0
-        self._incomplete_head_size = 0  # bytes fed since the last complete head or message
-        self._message_count = 0  # complete messages
+        self._body_parts: list[bytes] = []
+        self._body_limit_bytes = body_limit_bytes
+        self._body_size_bytes = 0
+        self._incomplete_head_bytes = 0  # bytes received since the last complete head or message
+        self._complete_message_count = 0
 
     def feed(self, parser: HttpParser, data: bytes) -> None:
-        """Parse some bytes. Raises the errors of httptools."""
-        count_before = self._message_count
+        """Parse data.
+
+        Raises HttpParserError for malformed input and HttpParserUpgrade for a protocol upgrade.
+        """
+        count_before = self._complete_message_count
         parser.feed_data(data)
-        if self.head_whole or self._message_count != count_before:
-            self._incomplete_head_size = 0
+        if self.head_complete or self._complete_message_count != count_before:
+            self._incomplete_head_bytes = 0
             return
-        self._incomplete_head_size += len(data)
-        if self._incomplete_head_size > HEAD_LIMIT_BYTES:  # a head without end, or empty lines before it
+        self._incomplete_head_bytes += len(data)
+        # The head has no end so far, or only empty lines have been received.
+        if self._incomplete_head_bytes > HEAD_LIMIT_BYTES:
             self.failure = self.failure or HEAD_TOO_LARGE
 
     # ---- called by httptools -----------------------------------------------------------------------
@@ -72,59 +80,60 @@
     def on_message_begin(self) -> None:
         """Start a new message."""
         self.message_started = True
-        self.head_whole = False
+        self.head_complete = False
         self.target = b""
         self.headers = []
-        self._parts = []
-        self._body_size = 0
+        self._body_parts = []
+        self._body_size_bytes = 0
 
     def on_url(self, part: bytes) -> None:
-        """Add a part of the request's target."""
+        """Append a part of the request target."""
         self.target += part
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header, its name in lower case.
+        """Add a header with its name in lower case.
 
-        Trailers come here too, after the body. They are dropped: they must not pass for headers.
+        httptools also reports trailers here, after the body. They are dropped: taken for headers, they could
+        change the meaning of the message.
         """
-        if not self.head_whole:
+        if not self.head_complete:
             self.headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Check the size of the head, and the size that it states for the body, before any of that comes."""
-        self.head_whole = True
-        head_size = sum(len(name) + len(value) for name, value in self.headers) + len(self.target)
-        if head_size > HEAD_LIMIT_BYTES:
+        """Check the size of the head and the Content-Length, before any of the body is received."""
+        self.head_complete = True
+        head_size_bytes = sum(len(name) + len(value) for name, value in self.headers) + len(self.target)
+        if head_size_bytes > HEAD_LIMIT_BYTES:
             self.failure = self.failure or HEAD_TOO_LARGE
         for name, value in self.headers:
-            if name == b"content-length" and int(value) > self._body_limit:
+            if name == b"content-length" and int(value) > self._body_limit_bytes:
                 self.failure = self.failure or BODY_TOO_LARGE
         self.head_done()
 
     def on_body(self, part: bytes) -> None:
-        """Add a part of the body."""
-        self._body_size += len(part)
-        if self._body_size > self._body_limit:
+        """Append a part of the body unless a limit has been exceeded."""
+        self._body_size_bytes += len(part)
+        if self._body_size_bytes > self._body_limit_bytes:
             self.failure = self.failure or BODY_TOO_LARGE
         if self.failure is None:
-            self._parts.append(part)
+            self._body_parts.append(part)
 
     def on_message_complete(self) -> None:
-        """End the message."""
+        """Finish the message."""
         self.message_done()
-        self._message_count += 1
+        self._complete_message_count += 1
         self.message_started = False
-        self.head_whole = False
+        self.head_complete = False
 
     @property
     def body(self) -> bytes:
         """The body collected so far."""
-        return b"".join(self._parts)
+        return b"".join(self._body_parts)
 
-    # ---- overridden by each direction ---------------------------------------------------------------
+    # ---- overridden by subclasses -------------------------------------------------------------------
 
     def head_done(self) -> None:
-        """Act on a complete head."""
+        """Handle a complete head; called before any of the body is received."""
 
     def message_done(self) -> None:
-        """Act on a complete message, whose fields are still in place."""
+        """Handle a complete message, while `headers`, `target` and `body` are still those of the message."""
--- a/alderspool/protocol/http_server.py
+++ b/alderspool/protocol/http_server.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 towards clients: one codec per connection, bytes in and requests out, responses in and bytes out.
+"""The server side of HTTP/1.1: decodes the requests of client connections and encodes the responses.
 
-No sockets and no timers here; the interpretation of a request is in `request_reader`.
+No sockets and no timers; requests are validated in `request_reader`.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 import httptools
 
 from alderspool.protocol.client_messages import ClientResponse, InvalidRequest, RawRequest, as_client_response
-from alderspool.protocol.http_parts import Headers, CodecFailure, HttpMessageCollector
-from alderspool.protocol.upstream import BODY_LIMIT
+from alderspool.protocol.http_parts import CodecFailure, Headers, HttpMessageCollector
+from alderspool.protocol.upstream import BODY_LIMIT_BYTES
 from alderspool.routing.messages import Rejected
 
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
-# All statuses that a client can be sent.
+# Every status that the proxy sends to clients.
 REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
@@ -33,7 +33,7 @@
 
 
 def status_line(status: int) -> bytes:
-    """Return the status line; the reason phrase is empty for a status without one."""
+    """Return the status line; the reason phrase is empty if REASON_PHRASES has none for the status."""
     return b"HTTP/1.1 %d %b\r\n" % (status, REASON_PHRASES.get(status, b""))
 
 
@@ -41,12 +41,12 @@
 
 
 class CodecStatus(Enum):
-    """What `HttpServerCodec.next` returns where there is no request to process."""
+    """What `HttpServerCodec.next` returns if there is no request to process."""
 
-    NEED_DATA = "no complete request has been received"
-    PAUSED = "the next request waits until the one in progress has its response"
+    NEED_DATA = "more data is needed to complete a request"
+    PAUSED = "the next request waits for the response to the request in progress"
     CONTINUE = "the client waits for 100 Continue before it sends the body"
-    ENDED = "an invalid request has been returned; nothing behind it is read"
+    ENDED = "an invalid request has been returned and no further input is read"
 
 
 NEED_DATA: Final = CodecStatus.NEED_DATA
@@ -56,37 +56,37 @@
 
 
 class EncodedResponse(NamedTuple):
-    """A response as bytes."""
+    """An encoded response."""
 
     data: bytes
-    closes_connection: bool  # it announces that the connection ends with it
+    closes_connection: bool  # the response has `Connection: close`
 
 
 class HttpServerCodec(HttpMessageCollector):
-    """Reads the requests of one connection and encodes its responses.
+    """Decodes the requests of one connection and encodes its responses.
 
-    At most one request is in progress: `next` returns it, and `compose` encodes its response. Requests
-    behind it are collected and wait. Invalid input is returned once, and nothing is read after it.
+    At most one request is in progress: `next` returns it, and `compose` encodes its response. Pipelined
+    requests are decoded and queued until then. Invalid input is returned once as an InvalidRequest, and
+    nothing is read after it.
     """
 
     def __init__(self) -> None:
-        super().__init__(BODY_LIMIT)
+        super().__init__(BODY_LIMIT_BYTES)
         self._parser = httptools.HttpRequestParser(self)
-        self._complete: deque[RawRequest] = deque()  # received, not yet returned by `next`
-        self._in_progress: RawRequest | None = None  # returned by `next`, without a response yet
-        self._is_http_1_1 = False  # the request that is being received
+        self._complete_requests: deque[RawRequest] = deque()  # not yet returned by `next`
+        self._request_in_progress: RawRequest | None = None  # returned by `next`, no response yet
+        self._is_http_1_1 = False  # of the request that is being received
         self._expects_continue = False
-        self._fault_returned = False
+        self._failure_returned = False
         self._received_at_s = 0.0
         self._earliest_arrival_s = 0.0
 
     def receive(
         self, data: bytes, received_at_s: float = 0.0, earliest_arrival_s: float | None = None
     ) -> None:
-        """Feed bytes that were read.
+        """Decode data that was read from the connection.
 
-        `received_at_s`: when they arrived. `earliest_arrival_s`: where that is not certain, when they may
-        have arrived at the earliest.
+        `received_at_s` is when the data arrived. If that is uncertain, `earliest_arrival_s` is a lower bound.
         """
         self._received_at_s = received_at_s
         self._earliest_arrival_s = received_at_s if earliest_arrival_s is None else earliest_arrival_s
@@ -95,14 +95,15 @@
                 self.feed(self._parser, data)
                 return
             except httptools.HttpParserUpgrade as upgrade:
-                # The client offers another protocol for what follows. A server may ignore the offer.
+                # The client asks to switch to another protocol. A server may ignore this: continue with the
+                # data after the request, in a new parser.
                 data = data[int(upgrade.args[0]) :]
                 self._parser = httptools.HttpRequestParser(self)
-            except httptools.HttpParserError as fault:
-                self.failure = CodecFailure(400, str(fault))
+            except httptools.HttpParserError as error:
+                self.failure = CodecFailure(400, str(error))
 
     def head_done(self) -> None:
-        """Check the version and Host of a request whose head is complete."""
+        """Check the HTTP version and the Host header of a request."""
         names = {name for name, _ in self.headers}
         version = self._parser.get_http_version()
         self._is_http_1_1 = version == "1.1"
@@ -111,64 +112,69 @@
         self._expects_continue = b"expect" in names and (b"expect", b"100-continue") in self.headers
 
     def message_done(self) -> None:
-        """Collect a request that is complete."""
+        """Queue a complete request for `next`."""
         if self.failure is None:
             method = self._parser.get_method()
-            keep = self._parser.should_keep_alive() and self._is_http_1_1
+            keep_alive = self._parser.should_keep_alive() and self._is_http_1_1
             request = RawRequest(
                 method,
                 self.target,
                 self.headers,
                 self.body,
-                keep,
+                keep_alive,
                 self._received_at_s,
                 self._earliest_arrival_s,
             )
-            self._complete.append(request)
+            self._complete_requests.append(request)
         self._expects_continue = False
 
     def next(self) -> RawRequest | InvalidRequest | CodecStatus:
-        """Return the next request, which is then in progress, or why there is none."""
-        if self._complete:
-            if self._in_progress is not None:
+        """Return the next request, which is then in progress, or the reason why there is none."""
+        if self._complete_requests:
+            if self._request_in_progress is not None:
                 return PAUSED
-            self._in_progress = self._complete.popleft()
-            return self._in_progress
+            self._request_in_progress = self._complete_requests.popleft()
+            return self._request_in_progress
         if self.failure is not None:
-            return self._next_fault(self.failure)
-        if self._expects_continue and not self._parts and self._in_progress is None:
+            return self._next_failure(self.failure)
+        if self._expects_continue and not self._body_parts and self._request_in_progress is None:
             return CONTINUE
         return NEED_DATA
 
-    def _next_fault(self, fault: tuple[int, str]) -> InvalidRequest | CodecStatus:
-        if self._fault_returned:
+    def _next_failure(self, failure: tuple[int, str]) -> InvalidRequest | CodecStatus:
+        if self._failure_returned:
             return ENDED
-        if self._in_progress is not None:
+        if self._request_in_progress is not None:
             return PAUSED
-        self._fault_returned = True
-        return InvalidRequest(*fault)
+        self._failure_returned = True
+        return InvalidRequest(*failure)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is in progress and nothing of a further one has been received."""
-        return not (self.message_started or self._complete or self._in_progress or self.failure)
+        """Whether no request is in progress and no part of another one has been received."""
+        return not (
+            self.message_started or self._complete_requests or self._request_in_progress or self.failure
+        )
 
     @property
     def has_complete_request(self) -> bool:
-        """Whether a complete request waits for `next`."""
-        return bool(self._complete)
+        """Whether a complete request is queued for `next`."""
+        return bool(self._complete_requests)
 
     @property
     def has_further_input(self) -> bool:
-        """Whether something has been received behind the request in progress."""
-        return bool(self.message_started or self._complete)
+        """Whether all or part of a request after the one in progress has been received."""
+        return bool(self.message_started or self._complete_requests)
 
     def time_out(self) -> InvalidRequest | None:
-        """Give up a request that is not complete in time; return the error that its client is to get."""
-        if self._in_progress is not None or self._fault_returned:
+        """Stop waiting for the rest of a request; return the error to send to the client.
+
+        Returns None if a request is in progress or an error has already been returned.
+        """
+        if self._request_in_progress is not None or self._failure_returned:
             return None
         self.failure = CodecFailure(408, "request not whole in time")
-        self._fault_returned = True
+        self._failure_returned = True
         return InvalidRequest(*self.failure)
 
     def compose_continue(self) -> bytes:
@@ -177,13 +183,14 @@
         return CONTINUE_RESPONSE
 
     def compose(self, status: int, body: bytes, headers: Headers, close: bool) -> EncodedResponse:
-        """Encode the response to the request in progress, or to input that never became a request.
+        """Encode the response to the request in progress, or to invalid input.
 
-        `close`: the connection is to end with it. It does so too where the client or a fault demands it.
+        `close` ends the connection with this response. The connection also ends if the client does not keep
+        it alive, after a failure, and if no request is in progress.
         """
-        request = self._in_progress
-        self._in_progress = None
-        close = close or self.failure is not None or request is None or not request.keep
+        request = self._request_in_progress
+        self._request_in_progress = None
+        close = close or self.failure is not None or request is None or not request.keep_alive
         parts = [STATUS_LINES.get(status) or status_line(status)]
         for name, value in headers:
             parts += (name, b": ", value, b"\r\n")
@@ -191,15 +198,15 @@
         if close:
             parts.append(b"Connection: close\r\n")
         parts.append(b"\r\n")
-        if request is None or request.method != b"HEAD":  # the response to HEAD has no body
+        if request is None or request.method != b"HEAD":  # a response to HEAD must not have a body
             parts.append(body)
         return EncodedResponse(b"".join(parts), close)
 
 
-def compose_closing(response: ClientResponse) -> bytes:
-    """Encode a response for a connection of which no request is read."""
+def compose_without_request(response: ClientResponse) -> bytes:
+    """Encode a response for a connection that is closed without reading a request."""
     return HttpServerCodec().compose(response.status, response.body, response.headers, close=True).data
 
 
-# The response on a connection for which the proxy has no descriptor left, whatever its request is.
-CONNECTION_REJECTED = compose_closing(as_client_response(Rejected()))
+# Sent on connections that are rejected because the proxy is out of descriptors, without reading the request.
+CONNECTION_REJECTED = compose_without_request(as_client_response(Rejected()))
--- a/alderspool/protocol/upstream.py
+++ b/alderspool/protocol/upstream.py
@@ -10,10 +10,10 @@
 from alderspool.balancer.events import AttemptStatus
 from alderspool.protocol.http_client import HttpClientCodec, HttpResponse
 
-BODY_LIMIT = 64 * 1024  # bytes, of a request as of a response
+BODY_LIMIT_BYTES = 64 * 1024  # bytes, of a request as of a response
 MIN_DEADLINE_MS = 1  # the smallest X-Deadline-Ms that is sent
 # Not forwarded: headers that concern one connection only, and those that are set anew for each attempt.
-HOP_BY_HOP = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     b"connection keep-alive proxy-connection proxy-authenticate proxy-authorization te trailer"
     b" transfer-encoding upgrade expect content-length x-deadline-ms".split()
 )
@@ -50,7 +50,7 @@
 
 def upstream_codec() -> HttpClientCodec:
     """Return the codec for one new connection to an endpoint."""
-    return HttpClientCodec(BODY_LIMIT)
+    return HttpClientCodec(BODY_LIMIT_BYTES)
 
 
 def compose_attempt(codec: HttpClientCodec, request: ForwardedRequest, time_left_ms: float) -> bytes:
