--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol parsers: client requests, responses of endpoints, the endpoint list. No I/O."""
+"""Tests of the protocol codecs: client requests, endpoint responses, and the endpoint list. No I/O."""
 
 from __future__ import annotations
 
@@ -37,44 +37,45 @@
 
 
 def read_request(data: bytes) -> object:
-    wire = HttpServerCodec()
-    wire.receive(data)
-    step = wire.next()
+    codec = HttpServerCodec()
+    codec.receive(data)
+    step = codec.next()
     return READER.read(step) if isinstance(step, RawRequest) else step
 
 
 def test_reads_a_valid_request_completely() -> None:
-    read = read_request(request("put", 480, b"body", X_Retry="1", X_Cost_Hint="12.5"))
-    assert isinstance(read, ClientRequest)
-    assert (read.cls, read.tenant, read.time_left_ms, read.is_retry) == (2, 0, 480.0, True)
-    assert read.cost_hint_ms == 12.5
-    assert (read.payload.method, read.payload.target) == (b"POST", b"/put/7f3a?x=1")
-    assert read.payload.body == b"body"
-    assert not {b"x-deadline-ms", b"content-length"} & {name for name, _ in read.payload.headers}
+    parsed = read_request(request("put", 480, b"body", X_Retry="1", X_Cost_Hint="12.5"))
+    assert isinstance(parsed, ClientRequest)
+    assert (parsed.cls, parsed.tenant, parsed.time_left_ms, parsed.is_retry) == (2, 0, 480.0, True)
+    assert parsed.cost_hint_ms == 12.5
+    assert (parsed.payload.method, parsed.payload.target) == (b"POST", b"/put/7f3a?x=1")
+    assert parsed.payload.body == b"body"
+    assert not {b"x-deadline-ms", b"content-length"} & {name for name, _ in parsed.payload.headers}
 
 
 def test_ignores_trailers_and_protocol_upgrades() -> None:
-    """Header fields in trailers and `Upgrade` have no effect on a request."""
+    """Trailers are dropped, and an Upgrade header affects neither its request nor the next one."""
     body = b"".join(b"1;x=y\r\n%c\r\n" % c for c in b"four") + b"0\r\nX-Class: look\r\nX-Evil: 1\r\n\r\n"
     sent = request("pay", Content_Length=None, Transfer_Encoding="chunked", body=body)
-    read = read_request(sent)
-    assert isinstance(read, ClientRequest)
-    assert read.payload.body == b"four"
-    assert b"x-evil" not in dict(read.payload.headers)
-    wire = HttpServerCodec()
-    wire.receive(request("look", Connection="Upgrade, HTTP2-Settings", Upgrade="h2c") + request("pay"))
-    assert isinstance(READER.read(wire.next()), ClientRequest)
-    wire.compose(200, b"", [], close=False)
-    assert wire.next().method == b"POST"
-
-
-def test_request_key_is_stable_and_differs_from_no_key() -> None:
-    one, two = read_request(request("look")), read_request(request("pay"))
-    assert one.key == two.key == 1734263071609238019
+    parsed = read_request(sent)
+    assert isinstance(parsed, ClientRequest)
+    assert parsed.payload.body == b"four"
+    assert b"x-evil" not in dict(parsed.payload.headers)
+    codec = HttpServerCodec()
+    codec.receive(request("look", Connection="Upgrade, HTTP2-Settings", Upgrade="h2c") + request("pay"))
+    assert isinstance(READER.read(codec.next()), ClientRequest)
+    codec.compose(200, b"", [], close=False)
+    assert codec.next().method == b"POST"
+
+
+def test_request_key_is_stable_and_0_if_absent() -> None:
+    first, second = read_request(request("look")), read_request(request("pay"))
+    assert first.key == second.key == 1734263071609238019
     assert read_request(request("look").replace(b"/look/7f3a?x=1", b"/look")).key == 0
 
 
-# A second request in the body of the first: a server that reads the length differently would execute it.
+# Request smuggling: the body of the first request contains a second one, which a server that determines the
+# length of the body differently would execute.
 SMUGGLED = request("pay", Transfer_Encoding="chunked", body=b"0\r\n\r\n" + request("pay"))
 INVALID_REQUESTS = {
     "no-http": (b"rubbish\r\n\r\n", 400),
@@ -141,9 +142,9 @@
 
 @pytest.mark.parametrize(("data", "status"), INVALID_REQUESTS.values(), ids=INVALID_REQUESTS.keys())
 def test_rejects_an_invalid_request(data: bytes, status: int) -> None:
-    read = read_request(data)
-    assert isinstance(read, InvalidRequest)
-    assert read.status == status
+    parsed = read_request(data)
+    assert isinstance(parsed, InvalidRequest)
+    assert parsed.status == status
 
 
 @pytest.mark.parametrize(
@@ -156,10 +157,10 @@
     ids=["nothing", "body-incomplete", "expects-100-continue"],
 )
 def test_incomplete_request_needs_more_data(data: bytes, step: str) -> None:
-    wire = HttpServerCodec()
+    codec = HttpServerCodec()
     if data:
-        wire.receive(data)
-    assert wire.next() is step
+        codec.receive(data)
+    assert codec.next() is step
 
 
 def test_reads_a_readiness_query() -> None:
@@ -167,15 +168,15 @@
 
 
 def test_pipelined_request_is_paused_until_the_response_to_the_first() -> None:
-    wire = HttpServerCodec()
-    wire.receive(request() + request("pay"))
-    assert wire.next().method == b"GET"
-    assert wire.next() is PAUSED
-    assert wire.compose(200, b"", [], close=False)[1] is False
-    assert wire.next().method == b"POST"
-    out, last = wire.compose(200, b"", [], close=True)
-    assert last
-    assert b"Connection: close" in out
+    codec = HttpServerCodec()
+    codec.receive(request() + request("pay"))
+    assert codec.next().method == b"GET"
+    assert codec.next() is PAUSED
+    assert codec.compose(200, b"", [], close=False)[1] is False
+    assert codec.next().method == b"POST"
+    data, closes_connection = codec.compose(200, b"", [], close=True)
+    assert closes_connection
+    assert b"Connection: close" in data
 
 
 FINAL_RESPONSES = {
@@ -233,9 +234,9 @@
 
 
 @pytest.mark.parametrize(("data", "status"), RESPONSES.values(), ids=RESPONSES.keys())
-def test_outcome_of_an_attempt_by_its_response(data: bytes, status: AttemptStatus | None) -> None:
-    """None: the response is broken, so that nothing of it is forwarded."""
-    for step in (len(data) or 1, 7):  # at once, and in pieces
+def test_classifies_the_response_to_an_attempt(data: bytes, status: AttemptStatus | None) -> None:
+    """A status of None stands for a malformed or incomplete response, of which nothing is forwarded."""
+    for step in (len(data) or 1, 7):  # the whole response at once, then pieces of 7 bytes
         codec = upstream.upstream_codec()
         upstream.compose_attempt(codec, read_request(request("pay")).payload, 99.9)
         response = None
@@ -278,23 +279,25 @@
     ],
 )
 def test_rejects_a_malformed_response_by_its_head(head: bytes) -> None:
-    wire = upstream.upstream_codec()
-    upstream.compose_attempt(wire, read_request(request("pay")).payload, 99.9)
+    codec = upstream.upstream_codec()
+    upstream.compose_attempt(codec, read_request(request("pay")).payload, 99.9)
     with pytest.raises(BrokenResponseError):
-        wire.receive(head)
+        codec.receive(head)
 
 
 @pytest.mark.parametrize(
-    "more", [b"", OK, b"noise", b"HT"], ids=["nothing", "second-response", "no-http", "part-of-a-status-line"]
+    "trailing_data",
+    [b"", OK, b"noise", b"HT"],
+    ids=["nothing", "second-response", "no-http", "part-of-a-status-line"],
 )
-def test_data_after_a_response_keeps_it_valid_and_prevents_reuse(more: bytes) -> None:
+def test_data_after_a_response_prevents_reuse_but_leaves_the_response_valid(trailing_data: bytes) -> None:
     codec = upstream.upstream_codec()
     upstream.compose_attempt(codec, read_request(request("pay")).payload, 99.9)
-    assert codec.receive(OK + more).body == b"done"
-    assert codec.reusable is not bool(more)
+    assert codec.receive(OK + trailing_data).body == b"done"
+    assert codec.reusable is not bool(trailing_data)
 
 
-def test_attempt_carries_its_deadline_and_body() -> None:
+def test_encoded_attempt_contains_its_deadline_and_body() -> None:
     payload = read_request(request("pay", 480, b"abc")).payload
     sent = upstream.compose_attempt(upstream.upstream_codec(), payload, 99.9)
     assert b"X-Deadline-Ms: 99\r\n" in sent and sent.endswith(b"\r\n\r\nabc")
@@ -304,7 +307,7 @@
 
 
 def list_body(**changes: object) -> bytes:
-    """Return the body of an endpoint list with one entry; None removes a key."""
+    """Return the JSON of an endpoint list with one entry. `changes` replaces keys; None removes a key."""
     entry = {key: value for key, value in (ENTRY | changes).items() if value is not None}
     return json.dumps({"index": 41, "snapshot": True, "endpoints": [entry]}).encode()
 
@@ -382,10 +385,10 @@
 # ---- duplicate responses ----------------------------------------------------------------------------------
 
 
-def test_equal_response_is_a_duplicate_only_within_the_window_and_where_responses_differ() -> None:
+def test_equal_response_is_a_duplicate_only_within_the_window_and_if_responses_normally_differ() -> None:
     detector = DuplicateResponseDetector()
     early, late = DUPLICATE_WINDOW_S / 4, DUPLICATE_WINDOW_S
-    assert not detector.may_reuse(1, early)  # nothing is known yet: the connection stays idle
+    assert not detector.may_reuse(1, early)  # not enough responses have differed yet
     assert detector.may_reuse(1, late)
     assert not detector.is_duplicate(1, 1, early)
     for number in range(MIN_DISTINCT_RESPONSES):
@@ -393,28 +396,28 @@
         assert not detector.is_duplicate(number, number + 1, early)
     assert detector.may_reuse(1, early)
     assert detector.is_duplicate(7, 7, early)
-    assert detector.may_reuse(1, early)  # a duplicate is no evidence that responses are alike
-    assert not detector.may_reuse(None, early)  # rejections are alike
+    assert detector.may_reuse(1, early)  # a duplicate does not reset the count of responses that differ
+    assert not detector.may_reuse(None, early)  # a response without a fingerprint, such as a rejection
     assert not detector.is_duplicate(None, None, early)
-    assert not detector.is_duplicate(7, 7, late)  # too late for a duplicate: responses are alike here
+    assert not detector.is_duplicate(7, 7, late)  # too late for a duplicate: resets the count
     assert not detector.may_reuse(1, early)
     assert not detector.is_duplicate(8, 8, early)
 
 
 @pytest.mark.parametrize(("status", "body"), [(503, b"x"), (500, b"x"), (200, b"")])
-def test_responses_that_are_normally_alike_have_no_fingerprint(status: int, body: bytes) -> None:
+def test_error_responses_and_empty_responses_have_no_fingerprint(status: int, body: bytes) -> None:
     assert fingerprint(HttpResponse(status, {}, body)) is None
     assert fingerprint(HttpResponse(200, {}, b"a")) == fingerprint(HttpResponse(200, {}, b"a")) is not None
 
 
-def test_distinguishes_zones_and_types_that_the_settings_do_not_name() -> None:
-    """Else a retry that is safe only within its zone could go to another zone unknown to the settings."""
+def test_distinguishes_zones_and_types_unknown_to_the_settings() -> None:
+    """If unknown zones were equal, a retry that is safe only within a zone could go to another zone."""
     settings = read_settings(flatten(SETTINGS))
-    lines = [
+    docs = [
         endpoint_list.EndpointDoc(f"s{number}", "127.0.0.1:1", "ready", zone=zone, type=zone)
         for number, zone in enumerate(("a", "elsewhere", "nowhere", "elsewhere", "b"))
     ]
-    received = endpoint_list.to_endpoint_list(endpoint_list.EndpointListDoc(1, True, lines), settings)
+    received = endpoint_list.to_endpoint_list(endpoint_list.EndpointListDoc(1, True, docs), settings)
     zones = [endpoint.entry.zone for endpoint in received.endpoints]
     assert (zones[0], zones[4]) == (0, 1)
     assert zones[1] == zones[3]
