--- a/alderspool/protocol/client_messages.py
+++ b/alderspool/protocol/client_messages.py
@@ -56,7 +56,7 @@
 
 
 def as_client_response(final: FinalResponse) -> ClientResponse:
-    """Convert the final response to a request to HTTP."""
+    """Convert the exchange's final response to an HTTP response."""
     if isinstance(final, Served):
         upstream_response: UpstreamResponse = final.payload
         content_type = upstream_response.content_type
--- a/alderspool/protocol/request_reader.py
+++ b/alderspool/protocol/request_reader.py
@@ -84,10 +84,11 @@
         if error is not None:
             return InvalidRequest(400, error)
         assert tenant is not None
+        # The parts of a path with a key are ["", class, ..., key].
         return ClientRequest(
             class_index,
             tenant,
-            _hash_key(path_parts[-1]) if len(path_parts) > 2 else 0,  # noqa: PLR2004  ["", class, key]
+            _hash_key(path_parts[-1]) if len(path_parts) > 2 else 0,  # noqa: PLR2004
             float(header_values[b"x-deadline-ms"]),
             ForwardedRequest(raw.method, raw.target, forwarded_headers, raw.body),
             client_request_id=header_values[b"x-request-id"],
