--- a/alderspool/lab/commands.py
+++ b/alderspool/lab/commands.py
@@ -11,7 +11,7 @@
 
 from alderspool.lab import demo
 from alderspool.lab.load import workers
-from alderspool.lab.load.plan import Plan, lay_out
+from alderspool.lab.load.plan import Plan, generate_plan
 from alderspool.lab.load.results import Result, write_result
 from alderspool.lab.load.show import print_summary, progress
 from alderspool.lab.load.trace import read_trace
@@ -37,7 +37,7 @@
         )
         if self.trace_file is not None:
             return read_trace(self.trace_file, traffic)
-        return lay_out(traffic)
+        return generate_plan(traffic)
 
 
 def load(
--- a/alderspool/lab/demo.py
+++ b/alderspool/lab/demo.py
@@ -9,7 +9,7 @@
 from alderspool.lab.emulator.faults import Fault, FaultKind
 from alderspool.lab.emulator.fleet import Fleet, FleetPlan
 from alderspool.lab.load import workers
-from alderspool.lab.load.plan import lay_out
+from alderspool.lab.load.plan import generate_plan
 from alderspool.lab.load.results import Result
 from alderspool.lab.load.traffic import Traffic
 
@@ -29,7 +29,7 @@
     async with Fleet(FleetPlan(faults=faults)) as fleet:
         url = fleet.proxies[0].url
         log(f"{len(fleet.endpoints)} endpoints, discovery {fleet.discovery.address}, proxy {url}")
-        plan = lay_out(Traffic(rate=REQUESTS_PER_S, seconds=seconds))
+        plan = generate_plan(Traffic(rate=REQUESTS_PER_S, seconds=seconds))
         stop = threading.Event()
         load = asyncio.create_task(asyncio.to_thread(workers.run, url, plan, 1, advance, stop))
         try:
@@ -41,4 +41,4 @@
 
 def planned_requests(seconds: float) -> int:
     """Return how many requests the demo will send."""
-    return len(lay_out(Traffic(rate=REQUESTS_PER_S, seconds=seconds)))
+    return len(generate_plan(Traffic(rate=REQUESTS_PER_S, seconds=seconds)))
--- a/alderspool/lab/load/plan.py
+++ b/alderspool/lab/load/plan.py
@@ -84,7 +84,7 @@
 # ---- the plan -------------------------------------------------------------------------------------
 
 
-def lay_out(traffic: Traffic) -> Plan:
+def generate_plan(traffic: Traffic) -> Plan:
     """Return the plan for this traffic."""
     seeds = np.random.SeedSequence(traffic.seed).spawn(4)
     time_random, class_random, tenant_random, key_random = (np.random.default_rng(seed) for seed in seeds)
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -14,7 +14,7 @@
 import click
 
 from alderspool.lab.load import workers
-from alderspool.lab.load.plan import lay_out
+from alderspool.lab.load.plan import generate_plan
 from alderspool.lab.load.results import Summary
 from alderspool.lab.load.traffic import Traffic
 
@@ -52,7 +52,7 @@
 def run_load(url: str, worker_count: int, rate_per_worker: float, seconds: float) -> Summary:
     """Send load at this rate and return the summary."""
     traffic = Traffic(rate=worker_count * rate_per_worker, seconds=seconds)
-    return workers.run(url, lay_out(traffic), worker_count).summary()
+    return workers.run(url, generate_plan(traffic), worker_count).summary()
 
 
 def format_row(worker_count: int, summary: Summary) -> str:
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -22,7 +22,7 @@
 from alderspool.lab.cli import lab
 from alderspool.lab.errors import LabError, RunError
 from alderspool.lab.load import workers
-from alderspool.lab.load.plan import Plan, lay_out
+from alderspool.lab.load.plan import Plan, generate_plan
 from alderspool.lab.load.results import Outcome, RequestRecord, Result, Tag, create_histogram
 from alderspool.lab.load.trace import read_trace
 from alderspool.lab.load.traffic import (
@@ -101,7 +101,7 @@
     ],
 )
 def test_arrivals_follow_their_shape(shape: str, parts: list[float]) -> None:
-    plan = lay_out(Traffic(rate=20_000.0, seconds=10.0, shape=shape, period=10.0, **ONE))
+    plan = generate_plan(Traffic(rate=20_000.0, seconds=10.0, shape=shape, period=10.0, **ONE))
     assert len(plan) == pytest.approx(200_000, rel=0.01)
     assert np.all(np.diff(plan.at_s) >= 0.0) and plan.at_s[0] >= 0.0 and plan.at_s[-1] < 10.0
     quarters = np.histogram(plan.at_s, bins=4, range=(0.0, 10.0))[0] / len(plan)
@@ -110,21 +110,21 @@
 
 def test_classes_tenants_and_keys_have_their_shares_and_own_random_generators() -> None:
     traffic = Traffic(rate=10_000.0, keys=50, zipf=1.0)
-    plan = lay_out(traffic)
+    plan = generate_plan(traffic)
     for drawn, shares in ((plan.class_index, [0.40, 0.36, 0.24]), (plan.tenant_index, [0.55, 0.36, 0.09])):
         assert np.bincount(drawn) / len(plan) == pytest.approx(shares, abs=0.01)
     often = np.bincount(plan.key)
     assert often[0] / often[9] == pytest.approx(10.0, rel=0.2)  # Zipf: the tenth key a tenth as often
-    other = lay_out(with_overrides(traffic, rate=5_000.0))
+    other = generate_plan(with_overrides(traffic, rate=5_000.0))
     n = len(other)
     assert np.array_equal(
         plan.tenant_index[:n], other.tenant_index
     )  # another rate, the same tenants and keys
-    assert np.array_equal(lay_out(traffic).at_s, plan.at_s)
+    assert np.array_equal(generate_plan(traffic).at_s, plan.at_s)
 
 
 def test_parts_of_the_workers_are_the_complete_plan() -> None:
-    plan = lay_out(Traffic(rate=1000.0, seconds=1.0))
+    plan = generate_plan(Traffic(rate=1000.0, seconds=1.0))
     parts = [plan.part(i, 3) for i in range(3)]
     assert sorted(np.concatenate([p.at_s for p in parts])) == plan.at_s.tolist()
 
@@ -234,7 +234,7 @@
     """
     for _ in range(3):  # an invalid run says nothing of the server; a host that busy is rare
         with StubServer(stall=STALL) as server:
-            result = workers.run(server.url, lay_out(STALLED), 2)
+            result = workers.run(server.url, generate_plan(STALLED), 2)
         if result.is_valid:
             break
     assert result.is_valid and result.summary()["outcomes"]["served"] == 110
@@ -275,7 +275,7 @@
     classes = [TrafficClass(path[1:].decode(), 1.0, 200.0) for path in responses]
     traffic = Traffic(rate=200.0, seconds=0.3, classes=classes, tenants=[TrafficTenant("a", 1.0)])
     with StubServer(lambda number, head: responses[b"/" + head.split(b"/")[1]]) as server:
-        result = workers.run(server.url, lay_out(traffic), 1)
+        result = workers.run(server.url, generate_plan(traffic), 1)
     for cls, _, outcome in result.latency_by_tag:
         assert outcome == {"garbage": "broken"}.get(cls, cls)
     assert len(result.latency_by_tag) == len(responses)
@@ -284,13 +284,13 @@
 def test_refused_connection_is_unconnected() -> None:
     with StubServer() as server:
         url = server.url
-    result = workers.run(url, lay_out(Traffic(rate=50.0, seconds=0.2, **ONE)), 1)
+    result = workers.run(url, generate_plan(Traffic(rate=50.0, seconds=0.2, **ONE)), 1)
     assert {outcome for _, _, outcome in result.latency_by_tag} == {"unconnected"}
 
 
 def test_requests_have_the_headers_of_the_protocol() -> None:
     with StubServer() as server:
-        workers.run(server.url, lay_out(Traffic(rate=300.0, seconds=0.3)), 1)
+        workers.run(server.url, generate_plan(Traffic(rate=300.0, seconds=0.3)), 1)
     ids = Counter()
     for head in server.heads:
         line, *header_lines = head.decode().split("\r\n")
@@ -309,7 +309,7 @@
 
 
 def test_late_tool_marks_its_run_as_invalid() -> None:
-    plan = lay_out(Traffic(rate=1e6, seconds=0.002, **ONE))
+    plan = generate_plan(Traffic(rate=1e6, seconds=0.002, **ONE))
     with StubServer() as server:
         result = workers.run(server.url, plan, 1)
         assert not result.is_valid and result.lateness.get_value_at_percentile(99.0) > 5000
@@ -327,7 +327,7 @@
             os.kill(killed[0], signal.SIGKILL)
 
     with StubServer() as server, pytest.raises(RunError, match="died with status -9"):
-        workers.run(server.url, lay_out(Traffic(rate=50.0, seconds=30.0, **ONE)), 3, kill_one)
+        workers.run(server.url, generate_plan(Traffic(rate=50.0, seconds=30.0, **ONE)), 3, kill_one)
     assert not multiprocessing.active_children()
 
 
