--- a/alderspool/lab/load/__init__.py
+++ b/alderspool/lab/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool. It is open loop: a slow response never delays the next request."""
+"""Open-loop load generator: requests are sent at their planned times, however slow the responses are."""
--- a/alderspool/lab/load/plan.py
+++ b/alderspool/lab/load/plan.py
@@ -1,6 +1,7 @@
-"""Arrivals laid out before the run: when, and of which class, tenant and key. No I/O, no clock.
+"""Generates the arrivals of a run in advance: time, class, tenant and key. No I/O, no clock.
 
-Each part has a seeded `numpy` generator of its own, so that a change of the shape changes no key.
+Times, classes, tenants and keys are drawn from separate seeded `numpy` generators, so that a change of the
+shape, for example, does not change the keys.
 """
 
 from __future__ import annotations
@@ -14,105 +15,112 @@
 
 from alderspool.lab.load.traffic import Shape, Traffic, TrafficClass
 
-Floats = NDArray[np.float64]
-Integers = NDArray[np.integer[Any]]
+FloatArray = NDArray[np.float64]
+IntArray = NDArray[np.integer[Any]]
 
-_RATE_GRID_POINTS = 4096  # at which the rate is evaluated
+_RATE_GRID_POINTS = 4096  # number of points at which the rate is evaluated
 
 
 @dataclass
 class Plan:
-    """The requests of a run, as arrays of one length in order of time."""
+    """The requests of a run in order of time, as parallel arrays."""
 
-    at_s: Floats  # from the start of the run
-    class_index: Integers  # into `classes`
-    tenant_index: Integers  # into `tenants`
-    key: Integers
+    at_s: FloatArray  # since the start of the run
+    class_index: IntArray  # index into `classes`
+    tenant_index: IntArray  # index into `tenants`
+    key: IntArray
     classes: list[TrafficClass]
     tenants: list[str]
 
     def __len__(self) -> int:
         return len(self.at_s)
 
-    def part(self, number: int, part_count: int) -> Plan:
-        """Return every `part_count`-th request from `number` on: one worker's part."""
-        every = slice(number, None, part_count)
+    def slice_for_worker(self, worker_index: int, worker_count: int) -> Plan:
+        """Return the requests of one worker: every `worker_count`-th, starting at `worker_index`."""
+        worker_slice = slice(worker_index, None, worker_count)
         return Plan(
-            self.at_s[every],
-            self.class_index[every],
-            self.tenant_index[every],
-            self.key[every],
+            self.at_s[worker_slice],
+            self.class_index[worker_slice],
+            self.tenant_index[worker_slice],
+            self.key[worker_slice],
             self.classes,
             self.tenants,
         )
 
 
-# ---- rates: relative to the mean, by the elapsed share of the run ---------------------------------
+# ---- rates: relative to the mean, as functions of the elapsed fraction of the run -----------------
 
 
-def _poisson(elapsed: Floats, traffic: Traffic) -> Floats:
-    return np.ones_like(elapsed)
+def _even_rate(run_fraction: FloatArray, traffic: Traffic) -> FloatArray:
+    return np.ones_like(run_fraction)
 
 
-def _ramp(elapsed: Floats, traffic: Traffic) -> Floats:
-    return 2.0 * elapsed
+def _ramp_rate(run_fraction: FloatArray, traffic: Traffic) -> FloatArray:
+    return 2.0 * run_fraction
 
 
-def _wave(elapsed: Floats, traffic: Traffic) -> Floats:
-    return 1.0 + traffic.swing * np.sin(2.0 * np.pi * elapsed * traffic.seconds / traffic.period)
+def _wave_rate(run_fraction: FloatArray, traffic: Traffic) -> FloatArray:
+    return 1.0 + traffic.swing * np.sin(2.0 * np.pi * run_fraction * traffic.seconds / traffic.period)
 
 
-def _step(elapsed: Floats, traffic: Traffic) -> Floats:
-    half = 0.5
-    return np.where(elapsed < half, 1.0 - traffic.swing, 1.0 + traffic.swing)
+def _step_rate(run_fraction: FloatArray, traffic: Traffic) -> FloatArray:
+    midpoint = 0.5
+    return np.where(run_fraction < midpoint, 1.0 - traffic.swing, 1.0 + traffic.swing)
 
 
-def _evening(elapsed: Floats, traffic: Traffic) -> Floats:
-    """Fall to 0.4 until sunset at 0.3 of the run, rise to the peak by 0.4, then fall slowly."""
-    return np.interp(elapsed, [0.0, 0.25, 0.3, 0.4, 0.8, 1.0], [0.9, 0.5, 0.4, 1.6, 1.4, 0.7])
+def _evening_rate(run_fraction: FloatArray, traffic: Traffic) -> FloatArray:
+    """Return the rate of an evening, relative to the mean.
 
+    It falls to 0.4 at sunset (0.3 of the run), rises to the peak of 1.6 by 0.4 of the run, then falls slowly.
+    """
+    return np.interp(run_fraction, [0.0, 0.25, 0.3, 0.4, 0.8, 1.0], [0.9, 0.5, 0.4, 1.6, 1.4, 0.7])
 
-_RATES: dict[Shape, Callable[[Floats, Traffic], Floats]] = {
-    Shape.POISSON: _poisson,
-    Shape.RAMP: _ramp,
-    Shape.WAVE: _wave,
-    Shape.STEP: _step,
-    Shape.EVENING: _evening,
+
+_RATE_FUNCTIONS: dict[Shape, Callable[[FloatArray, Traffic], FloatArray]] = {
+    Shape.POISSON: _even_rate,
+    Shape.RAMP: _ramp_rate,
+    Shape.WAVE: _wave_rate,
+    Shape.STEP: _step_rate,
+    Shape.EVENING: _evening_rate,
 }
 
 
-# ---- the plan -------------------------------------------------------------------------------------
+# ---- plan generation ------------------------------------------------------------------------------
 
 
 def generate_plan(traffic: Traffic) -> Plan:
-    """Return the plan for this traffic."""
+    """Return a plan for this traffic; the same traffic always gives the same plan."""
     seeds = np.random.SeedSequence(traffic.seed).spawn(4)
-    time_random, class_random, tenant_random, key_random = (np.random.default_rng(seed) for seed in seeds)
-    at_s = _arrivals(traffic, time_random)
+    time_rng, class_rng, tenant_rng, key_rng = (np.random.default_rng(seed) for seed in seeds)
+    at_s = _arrival_times(traffic, time_rng)
     count = len(at_s)
     key_frequencies = 1.0 / np.arange(1.0, traffic.keys + 1.0) ** traffic.zipf
     return Plan(
         at_s,
-        _draw(class_random, [traffic_class.share for traffic_class in traffic.classes], count),
-        _draw(tenant_random, [tenant.share for tenant in traffic.tenants], count),
-        _draw(key_random, key_frequencies, count),
+        _sample_indices(class_rng, [traffic_class.share for traffic_class in traffic.classes], count),
+        _sample_indices(tenant_rng, [tenant.share for tenant in traffic.tenants], count),
+        _sample_indices(key_rng, key_frequencies, count),
         traffic.classes,
         [tenant.name for tenant in traffic.tenants],
     )
 
 
-def _arrivals(traffic: Traffic, random: np.random.Generator) -> Floats:
-    """Return the moments in s. Poisson arrivals are drawn by inverting the integral of the rate."""
+def _arrival_times(traffic: Traffic, rng: np.random.Generator) -> FloatArray:
+    """Return the arrival times in s since the start of the run.
+
+    Poisson arrivals are sampled by inverting the cumulative rate.
+    """
     mean_count = traffic.rate * traffic.seconds
     if traffic.shape == Shape.CONSTANT:
         return np.arange(int(mean_count + 0.5)) / traffic.rate
-    elapsed = np.linspace(0.0, 1.0, _RATE_GRID_POINTS)
-    rate = _RATES[traffic.shape](elapsed, traffic)
-    integral = np.concatenate([[0.0], np.cumsum((rate[1:] + rate[:-1]) / 2.0)])
-    quantiles = np.sort(random.random(random.poisson(mean_count)))
-    return np.interp(quantiles, integral / integral[-1], elapsed) * traffic.seconds
+    run_fraction = np.linspace(0.0, 1.0, _RATE_GRID_POINTS)
+    rate = _RATE_FUNCTIONS[traffic.shape](run_fraction, traffic)
+    cumulative_rate = np.concatenate([[0.0], np.cumsum((rate[1:] + rate[:-1]) / 2.0)])
+    quantiles = np.sort(rng.random(rng.poisson(mean_count)))
+    return np.interp(quantiles, cumulative_rate / cumulative_rate[-1], run_fraction) * traffic.seconds
 
 
-def _draw(random: np.random.Generator, shares: Sequence[float] | Floats, count: int) -> Integers:
+def _sample_indices(rng: np.random.Generator, shares: Sequence[float] | FloatArray, count: int) -> IntArray:
+    """Return `count` random indices into `shares`, each as frequent as its share."""
     probabilities = np.asarray(shares)
-    return random.choice(len(probabilities), size=count, p=probabilities / probabilities.sum())
+    return rng.choice(len(probabilities), size=count, p=probabilities / probabilities.sum())
--- a/alderspool/lab/load/sender.py
+++ b/alderspool/lab/load/sender.py
@@ -1,4 +1,4 @@
-"""One worker's event loop: each planned request is sent at its moment, whatever became of others."""
+"""Sends the planned requests of one worker, each at its planned time, independently of earlier responses."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 BODY_LIMIT_BYTES = 64 * 1024
 READ_SIZE_BYTES = 64 * 1024
 REQUEST_BODY = b"{}"
-LATE_RESPONSE_WAIT_S = 1.0  # after the deadline, to learn how late a response comes
+LATE_RESPONSE_WAIT_S = 1.0  # waiting time after the deadline, to measure the latency of late responses
 MIN_TIMEOUT_S = 0.05
 CONNECT_TIMEOUT_S = 5.0
 PROGRESS_INTERVAL_S = 0.2
-LATE_YIELD_INTERVAL = 64  # requests sent in one go while behind the plan, before responses are read
+LATE_YIELD_INTERVAL = 64  # while behind the plan, the event loop runs after this many requests
 REJECTED_STATUSES = frozenset((HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE))
 
 
 @dataclass
 class Connection:
-    """A connection; it carries one request at a time."""
+    """A connection to the server; it carries one request at a time."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
@@ -37,7 +37,7 @@
     async def exchange(self, request: bytes) -> int:
         """Send a request and return the status of its response.
 
-        Raises OSError or BrokenResponseError if there is none.
+        Raises OSError or BrokenResponseError if no valid response is received.
         """
         self.writer.write(request)
         await self.writer.drain()
@@ -47,12 +47,15 @@
                 return response.status
 
     def is_usable(self) -> bool:
-        """Return whether it can carry a request, which one that the server has closed cannot."""
+        """Return whether it can carry another request, that is, whether neither side has closed it."""
         return not self.reader.at_eof() and not self.writer.is_closing()
 
 
 class Sender:
-    """Sends a plan to one server. Opens a further connection whenever all are busy, as many clients would."""
+    """Sends the requests of a plan to one server.
+
+    Opens another connection whenever all are busy, as a large number of clients would.
+    """
 
     def __init__(self, host: str, port: int, plan: Plan, result: Result) -> None:
         self._host = host
@@ -63,40 +66,41 @@
         self._start = 0.0
 
     async def run(self, start: float, report_sent: Callable[[int], None]) -> None:
-        """Play the plan from `start` (time.monotonic) on, until the last request has ended.
+        """Send all requests of the plan and wait until they have ended.
 
-        `report_sent` is called from time to time with the number of requests sent so far.
+        Planned times are relative to `start`, a time of the clock time.monotonic.
+        `report_sent` is called at intervals with the number of requests sent so far.
         """
         self._start = start
         cpu_before_s = _cpu_time_s()
-        measured_from = max(time.monotonic(), start)
+        measurement_start = max(time.monotonic(), start)
         tasks: set[asyncio.Task[None]] = set()
         last_report = 0.0
-        for number, planned_s in enumerate(self._plan.at_s.tolist()):
-            await self._wait_for(number, planned_s)
-            task = asyncio.create_task(self._request(number, planned_s))
+        for request_index, planned_s in enumerate(self._plan.at_s.tolist()):
+            await self._wait_until_planned(request_index, planned_s)
+            task = asyncio.create_task(self._send_request(request_index, planned_s))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
             if time.monotonic() - last_report > PROGRESS_INTERVAL_S:
                 last_report = time.monotonic()
-                report_sent(number + 1)
+                report_sent(request_index + 1)
         while tasks:
             await asyncio.wait(tasks)
         for connection in self._idle_connections:
             connection.writer.close()
-        self._result.duration_s = time.monotonic() - measured_from
+        self._result.duration_s = time.monotonic() - measurement_start
         self._result.cpu_s = _cpu_time_s() - cpu_before_s
 
-    async def _wait_for(self, number: int, planned_s: float) -> None:
-        ahead_s = self._start + planned_s - time.monotonic()
-        if ahead_s > 0.0:
-            await asyncio.sleep(ahead_s)
-        elif number % LATE_YIELD_INTERVAL == 0:
-            await asyncio.sleep(0)  # behind the plan: responses are to be read all the same
+    async def _wait_until_planned(self, request_index: int, planned_s: float) -> None:
+        delay_s = self._start + planned_s - time.monotonic()
+        if delay_s > 0.0:
+            await asyncio.sleep(delay_s)
+        elif request_index % LATE_YIELD_INTERVAL == 0:
+            await asyncio.sleep(0)  # behind the plan: let the event loop send requests and read responses
 
-    async def _request(self, number: int, planned_s: float) -> None:
+    async def _send_request(self, request_index: int, planned_s: float) -> None:
         plan = self._plan
-        request_class = plan.classes[plan.class_index[number]]
+        request_class = plan.classes[plan.class_index[request_index]]
         sent_s = self._now_s()
         time_left_s = request_class.deadline_ms / 1000.0 + LATE_RESPONSE_WAIT_S - (sent_s - planned_s)
         connection = None
@@ -104,25 +108,25 @@
         outcome = Outcome.UNCONNECTED
         try:
             async with asyncio.timeout(max(time_left_s, MIN_TIMEOUT_S)):
-                connection = await self._connect()
+                connection = await self._get_connection()
                 outcome = Outcome.BROKEN
-                request = self._compose(connection, number, planned_s)
+                request = self._encode_request(connection, request_index, planned_s)
                 status = await connection.exchange(request)
                 outcome = _outcome_of(status)
         except TimeoutError:
             outcome = Outcome.TIMEOUT if connection is not None else Outcome.UNCONNECTED
         except (OSError, BrokenResponseError):
-            pass  # the outcome says how far the request came
-        tag = Tag(request_class.name, plan.tenants[plan.tenant_index[number]], outcome)
-        self._result.count(RequestRecord(tag, planned_s, sent_s, self._now_s(), status))
+            pass  # `outcome` is already UNCONNECTED or BROKEN
+        tag = Tag(request_class.name, plan.tenants[plan.tenant_index[request_index]], outcome)
+        self._result.add_record(RequestRecord(tag, planned_s, sent_s, self._now_s(), status))
         if connection is not None:
             if status and connection.codec.reusable:
                 self._idle_connections.append(connection)
             else:
                 connection.writer.close()
 
-    async def _connect(self) -> Connection:
-        """Return an idle connection, or else a new one."""
+    async def _get_connection(self) -> Connection:
+        """Return an idle connection if there is a usable one, otherwise a new one."""
         while self._idle_connections:
             connection = self._idle_connections.pop()
             if connection.is_usable():
@@ -132,26 +136,26 @@
             reader, writer = await asyncio.open_connection(self._host, self._port)
         return Connection(reader, writer, HttpClientCodec(BODY_LIMIT_BYTES))
 
-    def _compose(self, connection: Connection, number: int, planned_s: float) -> bytes:
+    def _encode_request(self, connection: Connection, request_index: int, planned_s: float) -> bytes:
         plan = self._plan
-        request_class = plan.classes[plan.class_index[number]]
+        request_class = plan.classes[plan.class_index[request_index]]
         time_left_ms = request_class.deadline_ms - 1000.0 * (self._now_s() - planned_s)
         headers = [
             (b"Host", self._host.encode()),
             (b"X-Request-Id", uuid4().hex.encode()),
             (b"X-Class", request_class.name.encode()),
-            (b"X-Tenant", plan.tenants[plan.tenant_index[number]].encode()),
+            (b"X-Tenant", plan.tenants[plan.tenant_index[request_index]].encode()),
             (b"X-Deadline-Ms", b"%d" % max(time_left_ms, 1.0)),
         ]
         if request_class.idempotency is Idempotency.KEYED:
             headers.append((b"Idempotency-Key", uuid4().hex.encode()))
-        target = f"/{request_class.name}/{plan.key[number]:x}".encode()
+        target = f"/{request_class.name}/{plan.key[request_index]:x}".encode()
         if request_class.idempotency is Idempotency.IDEMPOTENT:
             return connection.codec.compose(b"GET", target, headers)
         return connection.codec.compose(b"POST", target, headers, REQUEST_BODY)
 
     def _now_s(self) -> float:
-        """Return the time since the start of the run."""
+        """Return the time in s since the start of the run."""
         return time.monotonic() - self._start
 
 
--- a/alderspool/lab/load/show.py
+++ b/alderspool/lab/load/show.py
@@ -1,4 +1,4 @@
-"""What the load tool shows to people: a progress bar, and a table at the end."""
+"""Terminal output of the load generator: a progress bar, and a table of the results."""
 
 from __future__ import annotations
 
@@ -12,15 +12,18 @@
 from alderspool.lab.load.results import Summary
 
 
-def _ignore(sent: int) -> None:
+def _ignore_progress(sent: int) -> None:
     pass
 
 
 @contextmanager
 def progress(total: int, quiet: bool) -> Iterator[Callable[[int], None]]:
-    """Show progress; yield a function that takes the number of requests sent so far."""
+    """Show a progress bar on standard error unless `quiet`.
+
+    Yields a function to be called with the number of requests sent so far.
+    """
     if quiet:
-        yield _ignore
+        yield _ignore_progress
         return
     columns = (
         TextColumn("sent {task.completed:,.0f} of {task.total:,.0f}"),
@@ -28,16 +31,16 @@
         TimeRemainingColumn(),
     )
     with Progress(*columns, console=Console(stderr=True)) as bar:
-        task = bar.add_task("", total=total)
+        task_id = bar.add_task("", total=total)
 
-        def advance(sent: int) -> None:
-            bar.update(task, completed=sent)
+        def update_bar(sent: int) -> None:
+            bar.update(task_id, completed=sent)
 
-        yield advance
+        yield update_bar
 
 
 def print_summary(summary: Summary) -> None:
-    """Print a table of latencies in ms, and how well the tool kept its own time."""
+    """Print a table of latencies in ms, the rate, the CPU time and the lateness of the load generator."""
     console = Console()
     table = Table("class", "tenant", "outcome", "count", "p50 ms", "p90", "p99", "p99.9", "max")
     for column in table.columns[:3]:
@@ -45,14 +48,16 @@
     for column in table.columns[3:]:
         column.justify = "right"
     for row in summary["by"]:
-        figures = [f"{row[percentile]:.1f}" for percentile in ("p50", "p90", "p99", "p99.9", "max")]
-        table.add_row(row["class"], row["tenant"], row["outcome"], f"{row['count']:,}", *figures)
+        percentile_cells = [f"{row[percentile]:.1f}" for percentile in ("p50", "p90", "p99", "p99.9", "max")]
+        table.add_row(row["class"], row["tenant"], row["outcome"], f"{row['count']:,}", *percentile_cells)
     console.print(table)
     lateness = summary["lateness_ms"]
     console.print(
-        f"{summary['answered']:,} of {summary['planned']:,} requests, {summary['per_second']:,} a second, "
-        f"{summary['cpu_us_per_request']} us of CPU each; the tool itself was late by "
+        f"{summary['answered']:,} of {summary['planned']:,} requests, {summary['per_second']:,} per second, "
+        f"{summary['cpu_us_per_request']} us of CPU each; requests were sent late by "
         f"{lateness['p50']:.2f} ms (p50), {lateness['p99']:.2f} ms (p99)"
     )
     if not summary["valid"]:
-        console.print("INVALID: the tool could not keep up (p99 of its lateness over 5 ms); more --workers?")
+        console.print(
+            "INVALID: the load generator could not keep up (p99 lateness over 5 ms); try more --workers"
+        )
--- a/alderspool/lab/load/trace.py
+++ b/alderspool/lab/load/trace.py
@@ -1,4 +1,7 @@
-"""Recorded arrivals as a plan: JSON lines or CSV with `at` (s), `class`, `tenant`, `key`."""
+"""Reads a plan from a trace of recorded arrivals.
+
+A trace is a JSON Lines or CSV file with the fields `at` (in s), `class`, `tenant` and `key` (optional).
+"""
 
 from __future__ import annotations
 
@@ -26,28 +29,30 @@
 
 
 class NumberedArrival(msgspec.Struct):
-    """An arrival with its place in the file."""
+    """An arrival and the number of its line in the file."""
 
     line: int
     arrival: Arrival
 
 
 def read_trace(path: Path, traffic: Traffic) -> Plan:
-    """Read the plan of a trace, in order of time.
+    """Return the arrivals of a trace as a plan, sorted by time.
 
-    The classes of the trace must be among those of the traffic, which have the deadline and the idempotency.
-    Raises LabError with the file, the line and the reason.
+    Every class in the trace must be defined in `traffic`, which provides its deadline and idempotency.
+    Raises LabError with a message that names the file, the line and the reason.
     """
     class_indices = {traffic_class.name: index for index, traffic_class in enumerate(traffic.classes)}
     tenant_indices: dict[str, int] = {}
     arrivals: list[Arrival] = []
-    for numbered in _numbered_arrivals(path):
-        arrival = numbered.arrival
-        place = f"{path}:{numbered.line}"
+    for numbered_arrival in _numbered_arrivals(path):
+        arrival = numbered_arrival.arrival
+        location = f"{path}:{numbered_arrival.line}"
         if arrival.request_class not in class_indices:
-            raise LabError(f"{place}: class {arrival.request_class!r} is none of {', '.join(class_indices)}")
+            raise LabError(
+                f"{location}: class {arrival.request_class!r} is not one of {', '.join(class_indices)}"
+            )
         if len(arrivals) >= MAX_PLANNED_REQUESTS:
-            raise LabError(f"{place}: over {MAX_PLANNED_REQUESTS} arrivals")
+            raise LabError(f"{location}: more than {MAX_PLANNED_REQUESTS} arrivals")
         tenant_indices.setdefault(arrival.tenant, len(tenant_indices))
         arrivals.append(arrival)
     if not arrivals:
@@ -64,13 +69,15 @@
 
 
 def _numbered_arrivals(path: Path) -> Iterator[NumberedArrival]:
-    """Read the arrivals in the file's order. Raises LabError."""
+    """Yield the arrivals in the order of the file. Raises LabError."""
     line = 0
     try:
         with path.open(newline="") as file:
-            trace_format = _FORMATS.get(path.suffix)
+            trace_format = _FORMATS_BY_SUFFIX.get(path.suffix)
             if trace_format is None:
-                raise LabError(f"{path}: a trace ends in {' or '.join(_FORMATS)}")
+                raise LabError(
+                    f"{path}: the name of a trace file must end in {' or '.join(_FORMATS_BY_SUFFIX)}"
+                )
             for row in trace_format.read_rows(file):
                 line = row.line
                 if row.content:
@@ -84,14 +91,14 @@
 
 
 class _Row(NamedTuple):
-    """A row of the file, not decoded yet; one without content is skipped."""
+    """A row of the file that is not decoded yet. Rows with empty content are skipped."""
 
     line: int
     content: Any
 
 
 class _TraceFormat(NamedTuple):
-    """How a file is split into rows, and how a row's content is decoded."""
+    """Functions that split a file into rows and decode the content of a row."""
 
     read_rows: Callable[[TextIO], Iterator[_Row]]
     decode: Callable[[Any], Arrival]
@@ -108,11 +115,11 @@
 
 
 def _read_json_rows(file: TextIO) -> Iterator[_Row]:
-    for line, text in enumerate(file, 1):
-        yield _Row(line, text.strip())
+    for line, line_text in enumerate(file, 1):
+        yield _Row(line, line_text.strip())
 
 
-_FORMATS = {
+_FORMATS_BY_SUFFIX = {
     ".jsonl": _TraceFormat(_read_json_rows, msgspec.json.Decoder(Arrival).decode),
     ".csv": _TraceFormat(_read_csv_rows, _decode_csv_row),
 }
--- a/alderspool/lab/load/traffic.py
+++ b/alderspool/lab/load/traffic.py
@@ -1,4 +1,4 @@
-"""What traffic is like, as read from a TOML file: every key is typed and checked, errors are one line."""
+"""Description of the traffic of a run, read from a TOML file. Keys are validated; errors fit on one line."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from alderspool.lab.errors import LabError
 
-MAX_PLANNED_REQUESTS = 5_000_000  # in one run: a mistake in a unit must not fill the memory
+MAX_PLANNED_REQUESTS = 5_000_000  # in one run; keeps a rate or length in a wrong unit from exhausting memory
 
 PositiveNumber = Annotated[float, msgspec.Meta(gt=0.0, le=1e6)]
 Share = Annotated[float, msgspec.Meta(ge=0.0, le=1.0)]
 
 
 class Idempotency(StrEnum):
-    """How often a request may be executed; the values are those of the file's key `effect`."""
+    """Whether repeating a request is safe. The values are those of the key `effect` in a traffic file."""
 
     IDEMPOTENT = "free"  # sent as GET
     NON_IDEMPOTENT = "once"  # sent as POST
@@ -27,19 +27,19 @@
 class Shape(StrEnum):
     """How the rate varies over the run.
 
-    `CONSTANT` is evenly spaced; all others are Poisson arrivals.
+    With `CONSTANT`, arrivals are evenly spaced; with all others, they are a Poisson process.
     """
 
     CONSTANT = "constant"
-    POISSON = "poisson"  # of an even rate
-    RAMP = "ramp"  # from nothing to twice the mean
-    WAVE = "wave"  # swings by `swing` of the mean every `period` seconds
-    STEP = "step"  # `swing` below the mean in the first half, as much above it in the second
-    EVENING = "evening"  # a Ramadan evening: a low before sunset, then a steep rise to a long peak
+    POISSON = "poisson"  # at a constant mean rate
+    RAMP = "ramp"  # rises from zero to twice the mean
+    WAVE = "wave"  # sine around the mean: amplitude `swing` x mean, period `period` s
+    STEP = "step"  # mean - `swing` x mean in the first half, mean + `swing` x mean in the second
+    EVENING = "evening"  # a Ramadan evening: low before sunset, then a steep rise to a long peak
 
 
 class TrafficClass(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests. `share` is relative to those of the other classes."""
+    """A class of requests. `share` is its weight relative to the other classes."""
 
     name: str
     share: PositiveNumber
@@ -48,7 +48,7 @@
 
 
 class TrafficTenant(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A tenant. `share` is relative to those of the other tenants."""
+    """A tenant. `share` is its weight relative to the other tenants."""
 
     name: str
     share: PositiveNumber
@@ -67,7 +67,7 @@
 
 
 class Traffic(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The traffic of one run. `rate` is the mean, in requests a second; `period` is in s."""
+    """The traffic of one run. `rate` is the mean in requests per second; `seconds` and `period` are in s."""
 
     rate: PositiveNumber = 100.0
     seconds: PositiveNumber = 10.0
@@ -75,8 +75,8 @@
     shape: Shape = Shape.POISSON
     swing: Share = 0.3
     period: PositiveNumber = 10.0
-    keys: Annotated[int, msgspec.Meta(ge=1, le=10**7)] = 1000  # distinct ones
-    zipf: Annotated[float, msgspec.Meta(ge=0.0, le=5.0)] = 1.0  # exponent of the keys' frequencies
+    keys: Annotated[int, msgspec.Meta(ge=1, le=10**7)] = 1000  # number of distinct keys
+    zipf: Annotated[float, msgspec.Meta(ge=0.0, le=5.0)] = 1.0  # Zipf exponent of the key frequencies
     classes: Annotated[list[TrafficClass], msgspec.Meta(min_length=1)] = msgspec.field(
         default_factory=_default_classes
     )
@@ -86,9 +86,9 @@
 
 
 def read_traffic(path: Path | None) -> Traffic:
-    """Read the traffic of a file; without a file return the built-in one.
+    """Read the traffic from a TOML file; if `path` is None, return the default traffic.
 
-    Raises LabError with the file, the key and the reason.
+    Raises LabError with a message that names the file, the key or line, and the reason.
     """
     if path is None:
         return Traffic()
@@ -96,14 +96,15 @@
         return msgspec.toml.decode(path.read_bytes(), type=Traffic)
     except OSError as error:
         raise LabError(f"{path}: {error.strerror}") from error
-    except msgspec.DecodeError as error:  # a ValidationError names the key, other errors the line
+    except msgspec.DecodeError as error:  # a ValidationError names the key; other errors name the line
         raise LabError(f"{path}: {error}") from error
 
 
 def with_overrides(traffic: Traffic, **overrides: float | None) -> Traffic:
-    """Return the traffic with values of the command line in place of the file's, checked like these.
+    """Return the traffic with command-line values in place of its own, validated in the same way.
 
-    An override that is None is not given. Raises LabError.
+    Overrides that are None are ignored. Raises LabError if a value is invalid or if rate x seconds exceeds
+    MAX_PLANNED_REQUESTS.
     """
     given = {key: value for key, value in overrides.items() if value is not None}
     try:
@@ -112,5 +113,5 @@
         raise LabError(f"command line: {error}") from error
     planned_requests = traffic.rate * traffic.seconds
     if planned_requests > MAX_PLANNED_REQUESTS:
-        raise LabError(f"rate x seconds: {planned_requests:.0f} requests, over {MAX_PLANNED_REQUESTS}")
+        raise LabError(f"rate x seconds: {planned_requests:.0f} requests, maximum {MAX_PLANNED_REQUESTS}")
     return traffic
--- a/alderspool/lab/load/workers.py
+++ b/alderspool/lab/load/workers.py
@@ -1,4 +1,4 @@
-"""Several processes play one plan together: they start at one moment, and their results are added up."""
+"""Runs a plan in several worker processes that start at the same time, and merges their results."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from alderspool.lab.load.results import EncodedResult, Result
 from alderspool.lab.load.sender import Sender
 
-START_DELAY_S = 0.1  # from the readiness of the last worker to the start of the run
+START_DELAY_S = 0.1  # between the last worker reporting ready and the start of the run
 STOP_CHECK_INTERVAL_S = 0.2
 EXIT_TIMEOUT_S = 5.0
 DEFAULT_HTTP_PORT = 80
@@ -27,26 +27,26 @@
 
 @dataclass(frozen=True)
 class WorkerReady:
-    """A worker waits for its start."""
+    """Message of a worker that is ready and waits for StartAt."""
 
 
 @dataclass(frozen=True)
 class StartAt:
-    """The run starts at this moment of time.monotonic."""
+    """Message to a worker: when to start the run, on the clock of time.monotonic."""
 
-    moment_s: float
+    monotonic_s: float
 
 
 @dataclass(frozen=True)
 class SentSoFar:
-    """A worker's number of requests sent so far."""
+    """Message of a worker: the number of requests it has sent so far."""
 
     count: int
 
 
 @dataclass(frozen=True)
 class HostPort:
-    """Where the requests go."""
+    """Host and port of the server under test."""
 
     host: str
     port: int
@@ -54,25 +54,25 @@
 
 @dataclass(frozen=True)
 class _Worker:
-    """A worker's process, and the parent's end of the pipe to it."""
+    """A worker process and the parent's end of the pipe to it."""
 
     process: SpawnProcess
     pipe: Connection[StartAt, WorkerReady | SentSoFar | EncodedResult]
 
     def receive(self) -> WorkerReady | SentSoFar | EncodedResult:
-        """Return the worker's next message. Raises RunError if it has died."""
+        """Return the worker's next message. Raises RunError if the worker has died."""
         try:
             return self.pipe.recv()
         except EOFError as error:
             self.process.join(EXIT_TIMEOUT_S)
             exit_status = self.process.exitcode
             raise RunError(
-                f"a worker died with status {exit_status}; its part of the plan is missing"
+                f"a worker died with status {exit_status}; the results of its requests are missing"
             ) from error
 
 
 def parse_url(url: str) -> HostPort:
-    """Read host and port of an http URL. Raises LabError if it is none."""
+    """Return the host and port of an http URL. Raises LabError if the URL is invalid."""
     try:
         parts = urlsplit(url)
         host = parts.hostname
@@ -92,32 +92,33 @@
     url: str,
     plan: Plan,
     worker_count: int,
-    advance: Callable[[int], None] = _ignore_progress,
+    on_progress: Callable[[int], None] = _ignore_progress,
     stop: threading.Event | None = None,
 ) -> Result:
-    """Play the plan against the URL and return the result of all workers. No process outlives the call.
+    """Send the requests of the plan to the URL and return the merged result of all workers.
 
-    `advance` is called with the number of requests sent so far. `stop` ends the run from another thread,
-    which Ctrl-C does not reach.
+    `on_progress` is called with the number of requests sent so far. Setting `stop` ends the run. It is for
+    callers that run this function in a thread other than the main one, where Ctrl-C does not interrupt it.
+    All worker processes have ended when the function returns or raises.
 
-    Raises LabError for an unusable URL or plan, and RunError if the run is stopped or a worker dies:
-    percentiles without its part of the plan would be wrong.
+    Raises LabError for an invalid URL or an empty plan, and RunError if the run is stopped or a worker dies:
+    percentiles without the requests of that worker would be wrong.
     """
     server = parse_url(url)
     if not len(plan):
-        raise LabError("the plan is empty: rate and length give no request")
+        raise LabError("the plan is empty: rate and duration result in no requests")
     result = Result(len(plan))
     workers: list[_Worker] = []
     try:
-        for number in range(worker_count):
-            workers.append(_start_worker(server, plan.part(number, worker_count)))
+        for worker_index in range(worker_count):
+            workers.append(_start_worker(server, plan.slice_for_worker(worker_index, worker_count)))
         for worker in workers:
             worker.receive()  # WorkerReady
         start_at = StartAt(time.monotonic() + START_DELAY_S)
         started_at_s = time.time() + START_DELAY_S
         for worker in workers:
             worker.pipe.send(start_at)
-        _collect(workers, result, advance, stop or threading.Event())
+        _collect_results(workers, result, on_progress, stop or threading.Event())
         result.started_at_s = started_at_s
         return result
     finally:
@@ -128,44 +129,45 @@
 
 
 def _start_worker(server: HostPort, plan: Plan) -> _Worker:
-    context = multiprocessing.get_context("spawn")  # a fork would copy the caller's event loop and threads
+    context = multiprocessing.get_context("spawn")  # fork would copy the caller's event loop and threads
     parent_pipe, worker_pipe = context.Pipe()
-    process = context.Process(target=_work, args=(worker_pipe, server, plan), daemon=True)
+    process = context.Process(target=_worker_main, args=(worker_pipe, server, plan), daemon=True)
     process.start()
     worker_pipe.close()
     return _Worker(process, parent_pipe)
 
 
-def _collect(
-    workers: list[_Worker], result: Result, advance: Callable[[int], None], stop: threading.Event
+def _collect_results(
+    workers: list[_Worker], result: Result, on_progress: Callable[[int], None], stop: threading.Event
 ) -> None:
-    """Add the results of all workers, and pass their progress on."""
+    """Wait for the workers, report their progress and merge their results into `result`."""
     unfinished = {worker.pipe: worker for worker in workers}
     sent_by_pipe = dict.fromkeys(unfinished, 0)
     while unfinished:
         if stop.is_set():
-            raise RunError("stopped before its end")
+            raise RunError("the run was stopped before it was complete")
         readable = wait(list(unfinished), timeout=STOP_CHECK_INTERVAL_S)
         for pipe in [pipe for pipe in unfinished if pipe in readable]:
             message = unfinished[pipe].receive()
             match message:
                 case SentSoFar(count):
                     sent_by_pipe[pipe] = count
-                    advance(sum(sent_by_pipe.values()))
+                    on_progress(sum(sent_by_pipe.values()))
                 case EncodedResult():
-                    result.add(message)
+                    result.merge(message)
                     del unfinished[pipe]
-    advance(len(result.records))
+    on_progress(len(result.records))
 
 
-def _work(
+def _worker_main(
     pipe: Connection[WorkerReady | SentSoFar | EncodedResult, StartAt], server: HostPort, plan: Plan
 ) -> None:
-    """Play a part of the plan: the main function of a worker's process."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # Ctrl-C is for the parent to handle; it ends its workers
+    """Send one worker's part of the plan. This is the main function of a worker process."""
+    # The parent handles Ctrl-C and terminates its workers.
+    signal.signal(signal.SIGINT, signal.SIG_IGN)
     result = Result(len(plan))
     gc.freeze()
-    gc.disable()  # a pause of the collector would show as lateness; a run is short
+    gc.disable()  # a collection would delay requests; a run is short enough to do without
 
     def report_sent(count: int) -> None:
         pipe.send(SentSoFar(count))
@@ -174,7 +176,7 @@
     try:
         start_at = pipe.recv()
         sender = Sender(server.host, server.port, plan, result)
-        asyncio.run(sender.run(start_at.moment_s, report_sent))
+        asyncio.run(sender.run(start_at.monotonic_s, report_sent))
         pipe.send(result.encode())
     except (EOFError, BrokenPipeError):
-        pass  # the parent has ended
+        pass  # the parent process has ended
--- a/tests/test_lab_load.py
+++ b/tests/test_lab_load.py
@@ -125,7 +125,7 @@
 
 def test_parts_of_the_workers_are_the_complete_plan() -> None:
     plan = generate_plan(Traffic(rate=1000.0, seconds=1.0))
-    parts = [plan.part(i, 3) for i in range(3)]
+    parts = [plan.slice_for_worker(i, 3) for i in range(3)]
     assert sorted(np.concatenate([p.at_s for p in parts])) == plan.at_s.tolist()
 
 
@@ -355,10 +355,12 @@
     parts = [Result(50), Result(50)]
     for i in range(100):
         for result in (complete, parts[i % 2]):
-            result.count(RequestRecord(tag, planned_s=1.0, sent_s=1.5, ended_s=2.0 + i / 100, status=200))
+            result.add_record(
+                RequestRecord(tag, planned_s=1.0, sent_s=1.5, ended_s=2.0 + i / 100, status=200)
+            )
     merged = Result(100)
     for part in parts:
-        merged.add(part.encode())
+        merged.merge(part.encode())
     assert merged.summary()["by"] == complete.summary()["by"]
     assert merged.summary()["latency_ms"]["p50"] == pytest.approx(1490.0, rel=0.002)
     assert merged.summary()["lateness_ms"]["p99"] == pytest.approx(500.0, rel=0.002) and not merged.is_valid
