--- a/benchmarks/accept_rate.py
+++ b/benchmarks/accept_rate.py
@@ -1,10 +1,10 @@
-"""Connections accepted under descriptor pressure, where each new connection evicts an open one.
+"""Measures how fast connections are accepted at the connection limit, where each new one evicts an open one.
 
     .venv/bin/python -m benchmarks.accept_rate [--connections 3000]
 
-The listener runs in a process of its own with an exchange that can serve nothing. Each client connects, sends
-GET /ready, reads the response and stays connected, or sends nothing (`--silent`). The CPU per connection is
-the figure to compare: other load on the system changes the rate more.
+The listener runs in a separate process with a stub exchange that is not able to serve requests. Each client
+connects, sends GET /ready, reads the response and stays connected; with `--silent` it sends nothing. Compare
+the CPU time per connection between runs: other load on the system affects the rate more.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
 RESPONSE_BYTES = 1024
 STOP = "stop"
 CLOSE_POLL_INTERVAL_S = 0.01
-OPEN_BEYOND_LIMIT = 64  # clients over the limit that stay open here before the oldest is closed
+MAX_SOCKETS_OVER_LIMIT = 64  # client sockets kept open in excess of the connection limit
 MICROSECONDS_PER_S = 1e6
 
 
 def serve(connection_limit: int, pipe: Connection) -> None:
-    """Run the listener until the other end of the pipe sends anything, then send the CPU seconds used."""
+    """Run the listener until a message arrives on the pipe, then send the CPU time used, in s."""
     asyncio.run(_serve(connection_limit, pipe))
 
 
@@ -58,7 +58,11 @@
 
 
 def connect_clients(address: tuple[str, int], count: int, connection_limit: int, silent: bool) -> float:
-    """Connect so many clients; return the seconds taken. Evicted ones are closed here after a while."""
+    """Connect `count` clients one after the other and return the time taken in s.
+
+    Closes the oldest socket whenever more than `connection_limit` + MAX_SOCKETS_OVER_LIMIT are open: the
+    listener has evicted it by then.
+    """
     clients: deque[socket.socket] = deque()
     started_at_s = time.perf_counter()
     for _ in range(count):
@@ -67,7 +71,7 @@
         if not silent:
             client.sendall(REQUEST)
             client.recv(RESPONSE_BYTES)
-        if len(clients) > connection_limit + OPEN_BEYOND_LIMIT:
+        if len(clients) > connection_limit + MAX_SOCKETS_OVER_LIMIT:
             clients.popleft().close()
     elapsed_s = time.perf_counter() - started_at_s
     for client in clients:
@@ -79,21 +83,21 @@
 @click.option("--connections", default=3000, show_default=True)
 @click.option("--silent", is_flag=True, help="The clients send nothing.")
 def main(connections: int, silent: bool) -> None:
-    """Measure for each limit of open connections."""
-    click.echo("open at most   accepted a second   CPU us per connection")
+    """Print the accept rate and the CPU time per connection for each limit of open connections."""
+    click.echo("  open limit      accepted per s   CPU us per connection")
     for connection_limit in CONNECTION_LIMITS:
-        parent_end, child_end = multiprocessing.Pipe()
-        server = multiprocessing.Process(target=serve, args=(connection_limit, child_end), daemon=True)
+        parent_pipe, child_pipe = multiprocessing.Pipe()
+        server = multiprocessing.Process(target=serve, args=(connection_limit, child_pipe), daemon=True)
         server.start()
-        # While the parent has the child's end open too, `recv` never sees the end of file of a dead child.
-        child_end.close()
+        # With the parent's copy of this end open, `recv` would not raise EOFError if the child died.
+        child_pipe.close()
         try:
-            address = parent_end.recv()
+            address = parent_pipe.recv()
             elapsed_s = connect_clients(address, connections, connection_limit, silent)
-            parent_end.send(STOP)
-            cpu_s = parent_end.recv()
+            parent_pipe.send(STOP)
+            cpu_s = parent_pipe.recv()
         except EOFError as error:
-            raise click.ClickException(f"limit {connection_limit}: the listener's process died") from error
+            raise click.ClickException(f"limit {connection_limit}: the listener process died") from error
         server.join()
         rate = connections / elapsed_s
         cpu_us = MICROSECONDS_PER_S * cpu_s / connections
--- a/benchmarks/load_tool.py
+++ b/benchmarks/load_tool.py
@@ -1,8 +1,8 @@
-"""The load tool against a server that does no work: the rates at which its runs are valid, and its CPU time.
+"""Measures the load generator against a trivial server: at which rates its runs are valid, and its CPU time.
 
     .venv/bin/python -m benchmarks.load_tool [--seconds 4]
 
-The server runs in processes of its own and responds at once; its CPU time is not counted.
+The server runs in separate processes and responds immediately; its CPU time is not included.
 """
 
 from __future__ import annotations
@@ -20,27 +20,30 @@
 
 RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 SERVER_PROCESSES = 3
-ACCEPT_QUEUE = 1024
+ACCEPT_QUEUE_LENGTH = 1024
 WORKER_COUNTS = (1, 2, 4)
 RATES_PER_WORKER = (1000.0, 2000.0, 3000.0, 4000.0, 5000.0)
 MICROSECONDS_PER_S = 1e6
 
 
 class FixedResponseServer(asyncio.Protocol):
-    """Responds once to each chunk: the tool sends one request a connection at a time, in one write."""
+    """Sends one response for each chunk received.
+
+    The load generator has at most one request pending per connection and sends it in a single write.
+    """
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the responses."""
+        """Store the transport, on which responses are sent."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Respond to the request in this chunk."""
+        """Send the response to the request in this chunk."""
         self._transport.write(RESPONSE)
 
 
 def serve(listener: socket.socket) -> None:
-    """Serve until the process is ended: the main function of a server process."""
+    """Serve until the process is terminated. This is the main function of a server process."""
     asyncio.run(_serve(listener))
 
 
@@ -50,13 +53,13 @@
 
 
 def run_load(url: str, worker_count: int, rate_per_worker: float, seconds: float) -> Summary:
-    """Send load at this rate and return the summary."""
+    """Send load at the total rate of all workers and return the summary of the run."""
     traffic = Traffic(rate=worker_count * rate_per_worker, seconds=seconds)
     return workers.run(url, generate_plan(traffic), worker_count).summary()
 
 
 def format_row(worker_count: int, summary: Summary) -> str:
-    """Return the row of one run."""
+    """Return the table row of one run."""
     cpu_us = summary["cpu_us_per_request"]
     lateness_ms = summary["lateness_ms"]["p99"]
     valid = "yes" if summary["valid"] else "no"
@@ -69,8 +72,8 @@
 @click.command()
 @click.option("--seconds", default=4.0, show_default=True)
 def main(seconds: float) -> None:
-    """Print a row for each number of workers and each rate, up to the first rate whose run is not valid."""
-    listener = socket.create_server(("127.0.0.1", 0), backlog=ACCEPT_QUEUE)
+    """Print a row for each number of workers and each rate, up to the first rate with an invalid run."""
+    listener = socket.create_server(("127.0.0.1", 0), backlog=ACCEPT_QUEUE_LENGTH)
     servers = [
         multiprocessing.Process(target=serve, args=(listener,), daemon=True) for _ in range(SERVER_PROCESSES)
     ]
@@ -78,7 +81,7 @@
         server.start()
     url = f"http://127.0.0.1:{listener.getsockname()[1]}"
     try:
-        click.echo("workers    rate a second   CPU us each   a second and core   lateness p99 ms   valid")
+        click.echo("workers       requests/s   CPU us each  requests/s per CPU   lateness p99 ms   valid")
         for worker_count in WORKER_COUNTS:
             for rate_per_worker in RATES_PER_WORKER:
                 summary = run_load(url, worker_count, rate_per_worker, seconds)
--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -1,10 +1,10 @@
-"""What grows with the fleet: CPU time and memory of one proxy, with as many proxies as endpoints.
+"""Measures how CPU time and memory of one proxy grow with the fleet, with as many proxies as endpoints.
 
     .venv/bin/python -m benchmarks.sizes [--repeat 5] [--size 24 --size 200 ...]
 
-Measured for each size: reading the configuration, a complete endpoint list, an update of one endpoint, and a
-request. Each size runs in a process of its own. What counts is how each figure grows relative to the smallest
-size, compared with how the list grows; both ratios are printed.
+For each size, it measures reading the configuration, handling a complete endpoint list, handling an update of
+one endpoint, and handling a request. Each size runs in a separate process. The ratios printed beside the times
+and the list length are relative to the first size: they show whether a time grows faster than the list.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 PROCESS_STATUS = Path("/proc/self/status")
 PEAK_RESIDENT_SET = "VmHWM"
 
-MAX_SIZE = 65_536  # the addresses differ in their last two bytes
-NAME_MULTIPLIER = 2654435761  # spreads the numbers over 32 bits, so that names are in no order
+MAX_SIZE = 65_536  # the addresses differ only in their last two bytes
+NAME_MULTIPLIER = 2654435761  # spreads the numbers over 32 bits, so that names are not in numeric order
 NAME_MODULUS = 2**32
 ENDPOINTS_PER_GROUP = 5
 
-# In the form and with the names of the platform's settings document.
+# In the format of the platform's settings document.
 SETTINGS: dict[str, Any] = {
     "bounds": {"cancel": True, "may_duplicate": True, "max_attempts": 5, "conn_idle_ms": 10000.0},
     "classes": [{"name": "look", "slo_ms": 400.0, "deadline_ms": 1000.0, "effect": "free"}],
@@ -53,14 +53,14 @@
 
 
 @dataclass(frozen=True)
-class Figures:
-    """What was measured at one size; times in us."""
+class Measurements:
+    """Measurements at one size."""
 
     load_us: float
     complete_list_us: float
     single_update_us: float
     request_us: float
-    memory_kb: int  # growth of the peak resident set from before the configuration was read
+    memory_kb: int  # growth of the peak resident set since before the configuration was read
 
     def times_us(self) -> list[float]:
         """Return the times in the order of the printed columns."""
@@ -68,7 +68,7 @@
 
 
 def configuration(size: int) -> dict[str, Any]:
-    """Return the configuration document of a proxy in a fleet with so many endpoints and proxies."""
+    """Return the configuration document of a proxy in a fleet of `size` endpoints and `size` proxies."""
     return {
         "listen": "127.0.0.1:3000",
         "discovery": "127.0.0.1:8500",
@@ -91,18 +91,18 @@
     }
 
 
-def shortest_time_us(act: Callable[[], object], repeat: int) -> float:
-    """Return the shortest time of several calls; other load on the host can only lengthen a call."""
+def shortest_time_us(operation: Callable[[], object], repeat: int) -> float:
+    """Return the shortest time of `repeat` calls in us; other load on the host can only lengthen a call."""
     times_s = []
     for _ in range(repeat):
         started_at_s = time.perf_counter()
-        act()
+        operation()
         times_s.append(time.perf_counter() - started_at_s)
     return MICROSECONDS_PER_S * min(times_s)
 
 
 class BalancerRun:
-    """A balancer on a virtual clock, which `send_requests` moves on."""
+    """A balancer on a virtual clock that `send_requests` advances."""
 
     def __init__(self, config: Config) -> None:
         self._entries = [endpoint.entry for endpoint in config.known.endpoints]
@@ -111,17 +111,17 @@
         self._balancer.start(self._now_ms)
 
     def replace_list(self) -> None:
-        """Give the balancer the complete endpoint list."""
+        """Pass the complete endpoint list to the balancer."""
         update = EndpointListUpdate(UpdateMode.FULL, self._entries, 1)
         self._balancer.handle(self._now_ms, update)
 
     def update_one_endpoint(self) -> None:
-        """Give the balancer an update of one endpoint."""
+        """Pass an update of one endpoint to the balancer."""
         update = EndpointListUpdate(UpdateMode.DELTA, self._entries[:1], 2)
         self._balancer.handle(self._now_ms, update)
 
     def send_requests(self) -> None:
-        """Take REQUEST_COUNT requests, each of which succeeds at its first endpoint."""
+        """Pass REQUEST_COUNT requests to the balancer; the first attempt of each succeeds."""
         for number in range(REQUEST_COUNT):
             self._now_ms += REQUEST_INTERVAL_MS
             for action in self._balancer.handle(self._now_ms, Request(number + 1, TIME_LEFT_MS)):
@@ -132,8 +132,8 @@
                     self._balancer.handle(self._now_ms + RESPONSE_TIME_MS, outcome)
 
 
-def measure(size: int, repeat: int) -> Figures:
-    """Measure one size. Call it in a fresh process: the memory is that of the whole process."""
+def measure(size: int, repeat: int) -> Measurements:
+    """Measure one size. Must run in a new process, because memory is measured for the whole process."""
     memory_before_kb = _peak_resident_set_kb()
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "config.json"
@@ -142,7 +142,7 @@
         config = load(environ)
         load_us = shortest_time_us(lambda: load(environ), repeat)
     run = BalancerRun(config)
-    return Figures(
+    return Measurements(
         load_us=load_us,
         complete_list_us=shortest_time_us(run.replace_list, repeat),
         single_update_us=shortest_time_us(run.update_one_endpoint, repeat),
@@ -152,7 +152,10 @@
 
 
 def _peak_resident_set_kb() -> int:
-    """Return the peak since the program was loaded; `ru_maxrss` would include the parent's peak too."""
+    """Return the peak resident set since this program was loaded.
+
+    `ru_maxrss` would include the peak of the parent process.
+    """
     for line in PROCESS_STATUS.read_text().splitlines():
         name, _, value = line.partition(":")
         if name == PEAK_RESIDENT_SET:
@@ -160,27 +163,27 @@
     raise click.ClickException(f"{PROCESS_STATUS}: no {PEAK_RESIDENT_SET}")
 
 
-def _measure_and_send(size: int, repeat: int, writer: Connection[Figures, Any]) -> None:
-    """Measure one size for the parent: the main function of the child process."""
+def _measure_and_send(size: int, repeat: int, writer: Connection[Measurements, Any]) -> None:
+    """Measure one size and send the result to the parent. This is the main function of the child process."""
     writer.send(measure(size, repeat))
 
 
-def measure_in_child(size: int, repeat: int) -> Figures:
-    """Measure one size in a process of its own. Raises ClickException if the process dies."""
+def measure_in_child(size: int, repeat: int) -> Measurements:
+    """Measure one size in a separate process. Raises ClickException if the process dies."""
     context = multiprocessing.get_context("spawn")
     reader, writer = context.Pipe(duplex=False)
     process = context.Process(target=_measure_and_send, args=(size, repeat, writer))
     process.start()
-    # While the parent has the writing end open too, `recv` never sees the end of file of a dead child.
+    # With the parent's copy of this end open, `recv` would not raise EOFError if the child died.
     writer.close()
     try:
-        figures: Figures = reader.recv()
+        measurements: Measurements = reader.recv()
     except EOFError as error:
         process.join(EXIT_TIMEOUT_S)
-        message = f"size {size}: the process ended with status {process.exitcode} and no figures"
+        message = f"size {size}: the process ended with status {process.exitcode} without a result"
         raise click.ClickException(message) from error
     process.join()
-    return figures
+    return measurements
 
 
 @click.command()
@@ -189,18 +192,18 @@
     "--size", "sizes", type=click.IntRange(1, MAX_SIZE), multiple=True, default=SIZES, show_default=True
 )
 def main(repeat: int, sizes: tuple[int, ...]) -> None:
-    """Print a row for each size, with ratios to the first one."""
-    first: Figures | None = None
+    """Print a row for each size, with ratios relative to the first size."""
+    baseline: Measurements | None = None
     click.echo(
         "endpoints  list    load us          complete list us one update us    request us           KB"
     )
     for size in sizes:
-        figures = measure_in_child(size, repeat)
-        if first is None:
-            first = figures
-        pairs = zip(figures.times_us(), first.times_us(), strict=True)
-        columns = [f"{time_us:9.0f} x{time_us / first_us:5.1f}  " for time_us, first_us in pairs]
-        click.echo(f"{size:9} x{size / sizes[0]:5.1f} {' '.join(columns)}{figures.memory_kb:8}")
+        measurements = measure_in_child(size, repeat)
+        if baseline is None:
+            baseline = measurements
+        pairs = zip(measurements.times_us(), baseline.times_us(), strict=True)
+        columns = [f"{time_us:9.0f} x{time_us / baseline_us:5.1f}  " for time_us, baseline_us in pairs]
+        click.echo(f"{size:9} x{size / sizes[0]:5.1f} {' '.join(columns)}{measurements.memory_kb:8}")
 
 
 if __name__ == "__main__":
