--- a/benchmarks/sizes.py
+++ b/benchmarks/sizes.py
@@ -3,8 +3,8 @@
     .venv/bin/python -m benchmarks.sizes [--repeat 5] [--size 24 --size 200 ...]
 
 For each size, it measures reading the configuration, handling a complete endpoint list, handling an update of
-one endpoint, and handling a request. Each size runs in a separate process. The ratios printed beside the times
-and the list length are relative to the first size: they show whether a time grows faster than the list.
+one endpoint, and handling a request. Each size runs in a separate process. The ratios printed beside the
+times and the list length are relative to the first size: they show whether a time grows faster than the list.
 """
 
 from __future__ import annotations
