--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small driver for Balancer: settings, endpoints and outcomes in a few words. It models nothing."""
+"""Helpers of the balancer tests: a driver that feeds events to a Balancer, without any model of a fleet."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
         self.update_list(*(EndpointEntry(endpoint_id(i), **fields) for i in range(n)))
 
     def request(self, cls: int = 0, left: float | None = None, **fields: object) -> list[Action]:
-        """Feed a request, numbered from 1; `left` is its time left in ms."""
+        """Feed a request with the next id, from 1 on; its remaining time is by default the deadline of its class."""
         self.next_id += 1
         left = self.cfg.classes[cls].deadline_ms if left is None else left
         return self.handle(Request(self.next_id, left, cls, **fields))
@@ -95,7 +95,7 @@
         return self.handle(TimerFired(token))
 
     def serve(self, n: int, took: float = 5.0, cls: int = 0) -> list[bytes]:
-        """Serve n requests one after the other, each in `took` ms; return the endpoints that got them."""
+        """Serve n requests one after the other, each with this latency; return the endpoints that served them."""
         used = []
         for _ in range(n):
             (send,) = sends(self.request(cls))
--- a/tests/fleet_endpoint.py
+++ b/tests/fleet_endpoint.py
@@ -1,6 +1,6 @@
-"""The endpoints of the fleet model: speed, slow start, queue, and a lasting slowdown after overload.
+"""The endpoints of the fleet model: speed, slow start, queue, and degradation after lasting overload.
 
-Times in ms of virtual time; work in ms of a core of speed 1.
+Times are in ms of virtual time; work is in ms of one core of speed 1.
 """
 
 from __future__ import annotations
@@ -19,11 +19,12 @@
 INITIAL_CAPACITY_SHARE = 0.4  # of an endpoint that has just started
 SLOW_START_MS = 4000.0
 
-# An endpoint that holds more attempts than this for so long becomes slower ("choked") ...
+# An endpoint that holds more than this many attempts for this long is degraded: its speed is divided by the
+# slowdown. This models an overload that outlasts its cause (metastable failure).
 CHOKE_ATTEMPTS = 10
 CHOKE_AFTER_MS = 2000.0
 CHOKE_SLOWDOWN = 3.0
-# ... until it was less busy than this for so long, or the longest time has passed.
+# It recovers once its busy share was below this limit for this long, or after the maximum time.
 CHOKE_RECOVERY_BUSY_SHARE = 0.3
 CHOKE_RECOVERY_MS = 2500.0
 CHOKE_MAX_MS = 22_000.0
@@ -41,8 +42,8 @@
     started_at_ms: float = 0.0  # 0: long ago
     state: int = Availability.READY
     is_alive: bool = True
-    silent: bool = False  # takes attempts and never responds
-    slower: float = 1.0  # a fault: this many times slower
+    silent: bool = False  # injected fault: accepts attempts and never responds
+    slower: float = 1.0  # injected fault: divides the speed
     running: int = 0
     incarnation: int = 0  # number of deaths: what ran before the last one completes nothing
     queue: deque[SimulatedAttempt] = field(default_factory=deque)
@@ -70,7 +71,7 @@
         return self.is_alive and not self.silent and self.state == Availability.READY
 
     def sample_load(self, now_ms: float) -> None:
-        """Update the averages of its load, and begin or end the slowdown that overload causes."""
+        """Update the averages of its load, and begin or end the degradation that overload causes."""
         self.busy_share += (self.running / CORES - self.busy_share) * BUSY_SHARE_WEIGHT
         is_crowded = self.running + len(self.queue) > CHOKE_ATTEMPTS
         is_idle = self.busy_share < CHOKE_RECOVERY_BUSY_SHARE
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -1,9 +1,13 @@
-"""A small fleet in virtual time round Balancers alone, for the ways into overload and out of it.
+"""A discrete-event model of a small fleet, to test how Balancers behave in overload and recover from it.
 
-Endpoints may stop responding, die and restart in slow start, slow down, drain, or choke on their queue (see
-`fleet_endpoint`). Clients send at random moments that do not depend on responses, and retry once when
-rejected. Times in ms; work in ms of a core of speed 1. The rules of the platform are asserted at every
-action; work that is completed in time is counted by the second in which its client first sent the request.
+Only the Balancer is the program's own code; clients, proxies, network and endpoints are modelled in virtual
+time. Endpoints may stop responding, crash and restart in slow start, slow down, drain, or degrade after
+lasting overload (see `fleet_endpoint`). Clients send requests as a Poisson process, whatever the responses
+are, and retry a rejected request once. Times are in ms; work is in ms of one core of speed 1.
+
+The model asserts at every action of a Balancer that it is permitted: no second execution of a non-idempotent
+request, no attempt at an endpoint that is not listed as ready, one final response in time. Work completed within the latency
+objective is counted in the second in which the client first sent the request.
 """
 
 from __future__ import annotations
@@ -208,7 +212,7 @@
             self.announce()
 
     def come_back(self, node: EndpointNode) -> None:
-        """Start an endpoint anew, in slow start, and announce it at once."""
+        """Start a new process of an endpoint, in slow start, and publish the list immediately."""
         node.start_process(self.now)
         self.announce()
 
