--- a/tests/rig.py
+++ b/tests/rig.py
@@ -58,7 +58,7 @@
     return head[0].encode(), headers, body
 
 
-class Party:
+class ScriptedServer:
     """A scripted server. `reply` gives the response to each request; None: no response; b"": close.
 
     `line` has changes to its entry in the endpoint list.
@@ -67,20 +67,20 @@
     def __init__(self, name: str, reply: Callable | bytes | None = OK, **line: object) -> None:
         self.name = name
         self.reply = reply
-        self.line = line
-        self.got: list[tuple[bytes, dict[str, str], bytes]] = []
-        self.opened = 0  # connections
-        self.ended = asyncio.Event()  # a client has closed its connection
+        self.entry_changes = line
+        self.received_requests: list[tuple[bytes, dict[str, str], bytes]] = []
+        self.accepted_connections = 0  # connections
+        self.peer_closed = asyncio.Event()  # a client has closed its connection
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.opened += 1
+        self.accepted_connections += 1
         try:
             while True:
-                self.got.append(await read_message(reader))
+                self.received_requests.append(await read_message(reader))
                 reply = self.reply(self) if callable(self.reply) else self.reply
                 reply = await reply if asyncio.iscoroutine(reply) else reply
                 await asyncio.sleep(
@@ -91,20 +91,20 @@
                     if not reply or b"Connection: close" in reply:
                         return
         except (OSError, asyncio.IncompleteReadError):
-            self.ended.set()
+            self.peer_closed.set()
         finally:
             writer.close()
 
     def entry(self, **changes: object) -> dict[str, object]:
         """Return its entry in the endpoint list."""
         line = {"zone": "a", "type": "m2", "group": 0, "status": "ready", "weight": 1.0, "since_ms": 0}
-        return {"name": self.name, "address": f"127.0.0.1:{self.port}"} | line | self.line | changes
+        return {"name": self.name, "address": f"127.0.0.1:{self.port}"} | line | self.entry_changes | changes
 
 
-async def calls_until(party: Party, part: bytes) -> list[bytes]:
+async def wait_for_target(scripted_server: ScriptedServer, part: bytes) -> list[bytes]:
     """Wait for a request target that contains `part`; return all targets up to it."""
     while True:
-        targets = [got[0].split()[1] for got in party.got]
+        targets = [got[0].split()[1] for got in scripted_server.received_requests]
         for index, target in enumerate(targets):
             if part in target:
                 return targets[: index + 1]
@@ -114,11 +114,13 @@
 class Rig:
     """Discovery, endpoints and the proxy, started together."""
 
-    def __init__(self, *endpoints: Party, settings: dict | None = None, await_ready: bool = True) -> None:
+    def __init__(
+        self, *endpoints: ScriptedServer, settings: dict | None = None, await_ready: bool = True
+    ) -> None:
         self.endpoints = endpoints
         self.settings = SETTINGS | (settings or {})
         self.await_ready = await_ready
-        self.discovery = Party("discovery", lambda party: self._list())
+        self.discovery = ScriptedServer("discovery", lambda scripted_server: self._list())
         self._updates: asyncio.Queue[bytes] = asyncio.Queue()
         self._updates_sent = 0
         self.calls: list[
@@ -129,16 +131,16 @@
         """Return the next update; to a watch whose time is over, a response without changes."""
         if len(self.calls) == self._updates_sent:
             self.calls.append(time.monotonic())
-        query = parse_qs(self.discovery.got[-1][0].split()[1].partition(b"?")[2].decode())
+        query = parse_qs(self.discovery.received_requests[-1][0].split()[1].partition(b"?")[2].decode())
         try:
             async with asyncio.timeout(int(query["timeout_ms"][0]) / 1000.0 if query else None):
                 update = await self._updates.get()
         except TimeoutError:
-            return self.list_of(index=int(query["since"][0]))
+            return self.list_response(index=int(query["since"][0]))
         self._updates_sent += 1
         return update
 
-    def list_of(
+    def list_response(
         self, *entries: dict, index: int = 2, snapshot: bool = False, indent: str | None = None
     ) -> bytes:
         """Return a response of discovery with these entries."""
@@ -146,22 +148,22 @@
         doc = text.replace("\n", "\r\n").encode()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(doc), doc)
 
-    def tell(self, *entries: dict, index: int = 2, snapshot: bool = False) -> None:
+    def queue_list(self, *entries: dict, index: int = 2, snapshot: bool = False) -> None:
         """Let discovery respond to its next call with these entries."""
-        self.tell_raw(self.list_of(*entries, index=index, snapshot=snapshot))
+        self.queue_response(self.list_response(*entries, index=index, snapshot=snapshot))
 
-    def tell_raw(self, response: bytes) -> None:
+    def queue_response(self, response: bytes) -> None:
         """Let discovery respond to its next call with these bytes."""
         self._updates.put_nowait(response)
 
-    async def asked(self, count: int) -> None:
+    async def wait_for_calls(self, count: int) -> None:
         """Wait until discovery was called so often, calls after an update being counted once."""
         while len(self.calls) < count:
             await asyncio.sleep(0.005)
 
     async def __aenter__(self) -> Rig:
-        for party in (self.discovery, *self.endpoints):
-            await party.start()
+        for scripted_server in (self.discovery, *self.endpoints):
+            await scripted_server.start()
         placeholder = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         self.port = placeholder.sockets[0].getsockname()[1]
         placeholder.close()
@@ -189,16 +191,16 @@
             cwd=root,
         )
         if self.await_ready:
-            await self.until_ready()
+            await self.wait_until_ready()
         return self
 
-    async def until_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the proxy responds."""
-        while await self.ready() is None:
+        while await self.is_ready() is None:
             assert self.proxy.returncode is None
             await asyncio.sleep(0.02)
 
-    async def loading(self) -> None:
+    async def wait_until_started(self) -> None:
         """Wait until the shell has started the program, which loads from then on."""
         while b"alderspool\0serve" not in Path(f"/proc/{self.proxy.pid}/cmdline").read_bytes():
             await asyncio.sleep(0.001)
@@ -208,8 +210,8 @@
             self.proxy.kill()
             await self.proxy.wait()
         shutil.rmtree(self.file.parent)
-        for party in (self.discovery, *self.endpoints):
-            party.server.close()
+        for scripted_server in (self.discovery, *self.endpoints):
+            scripted_server.server.close()
 
     def reload(self, text: str) -> None:
         """Replace the configuration file, and send the proxy SIGHUP."""
@@ -218,10 +220,10 @@
         new.replace(self.file)
         self.proxy.send_signal(signal.SIGHUP)
 
-    async def ready(self) -> bool | None:
+    async def is_ready(self) -> bool | None:
         """Return whether the proxy is ready; None: it does not respond."""
         try:
-            return (await self.raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
+            return (await self.send_raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
         except (OSError, asyncio.IncompleteReadError):
             return None
 
@@ -231,7 +233,7 @@
         writer.write(sent)
         return reader, writer
 
-    async def raw(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def send_raw(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
         """Send these bytes on a new connection; return status, headers and body of the response."""
         reader, writer = await self.connect(request)
         try:
@@ -240,14 +242,16 @@
         finally:
             writer.close()
 
-    async def ask(self, cls: str = "look", wait: int = 5000, **headers: str) -> tuple[int, dict, bytes]:
+    async def get_response(
+        self, cls: str = "look", deadline_ms: int = 5000, **headers: str
+    ) -> tuple[int, dict, bytes]:
         """Send a request on a new connection; return status, headers and body of the response."""
-        return await self.raw(request(cls, wait, **headers))
+        return await self.send_raw(request(cls, deadline_ms, **headers))
 
 
-def request(cls: str = "look", wait: int = 5000, body: bytes = b"", **headers: str) -> bytes:
-    """Return the bytes of a request with a deadline of `wait` ms; a header that is None is left out."""
-    lines = {"Host": "api", "X-Class": cls, "X-Tenant": "acme", "X-Deadline-Ms": str(wait)}
+def request(cls: str = "look", deadline_ms: int = 5000, body: bytes = b"", **headers: str) -> bytes:
+    """Return the bytes of a request with a deadline of `deadline_ms` ms; a header that is None is left out."""
+    lines = {"Host": "api", "X-Class": cls, "X-Tenant": "acme", "X-Deadline-Ms": str(deadline_ms)}
     lines["X-Request-Id"] = os.urandom(8).hex()
     if cls == "put":
         lines["Idempotency-Key"] = "k1"
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -17,7 +17,7 @@
 from types import SimpleNamespace
 
 import pytest
-from rig import NOT_RUN, OK, Party, Rig, read_message, real, request
+from rig import NOT_RUN, OK, Rig, ScriptedServer, read_message, real, request
 from test_exchange import SEND, bench
 
 from alderspool.balancer.actions import Send
@@ -166,7 +166,7 @@
 # ---- time in the accept queue ----------------------------
 
 
-class Endpoint(Party):
+class Endpoint(ScriptedServer):
     """Records when each request came, and the deadline that it states."""
 
     def __init__(self, name: str, response: bytes) -> None:
@@ -174,8 +174,8 @@
         self.attempts: list[tuple[float, int]] = []
         self.response = response
 
-    def _record(self, party: Party) -> bytes:
-        self.attempts.append((time.monotonic(), int(self.got[-1][1]["x-deadline-ms"])))
+    def _record(self, scripted_server: ScriptedServer) -> bytes:
+        self.attempts.append((time.monotonic(), int(self.received_requests[-1][1]["x-deadline-ms"])))
         return self.response
 
 
@@ -240,13 +240,13 @@
     release = asyncio.Event()
     stated_ms: list[int] = []
 
-    async def delay_the_first(party: Party) -> bytes:
-        stated_ms.append(int(party.got[-1][1]["x-deadline-ms"]))
-        if len(party.got) == 1:
+    async def delay_the_first(scripted_server: ScriptedServer) -> bytes:
+        stated_ms.append(int(scripted_server.received_requests[-1][1]["x-deadline-ms"]))
+        if len(scripted_server.received_requests) == 1:
             await release.wait()
         return OK
 
-    async with Rig(Party("s1", delay_the_first)) as rig:
+    async with Rig(ScriptedServer("s1", delay_the_first)) as rig:
         reader, writer = await rig.connect(request("pay", 5000) + request("look", 5000))
         while not stated_ms:
             await asyncio.sleep(0.005)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from random import Random
 
 import pytest
-from rig import BARE_503, SETTINGS, Party, Rig, calls_until, real
+from rig import BARE_503, SETTINGS, Rig, ScriptedServer, real, wait_for_target
 
 from alderspool.balancer.settings import RequestClass, Settings
 from alderspool.balancer.settings_reader import read_settings
@@ -40,14 +40,14 @@
     return {"rules": SETTINGS["rules"] | {"ask_within_ms": 1000.0 * seconds}}
 
 
-def targets_of(party: Party) -> list[bytes]:
+def targets_of(scripted_server: ScriptedServer) -> list[bytes]:
     """Return the targets of the requests that have come in."""
-    return [request_line.split()[1] for request_line, _, _ in party.got]
+    return [request_line.split()[1] for request_line, _, _ in scripted_server.received_requests]
 
 
 async def statuses_of_requests(rig: Rig, count: int, *args: str) -> list[int]:
     """Return the response statuses of so many requests through the proxy, sent one after the other."""
-    return [(await rig.ask(*args))[0] for _ in range(count)]
+    return [(await rig.get_response(*args))[0] for _ in range(count)]
 
 
 class RecordingExchange:
@@ -84,15 +84,17 @@
 @real
 async def test_list_of_a_slow_local_agent_is_known_before_the_first_client_is_admitted() -> None:
     """The configured list is old: it has s1 as ready, which is draining. The agent responds late."""
-    async with Rig(Party("s1"), Party("s2"), settings=LOCAL_AGENT, await_ready=False) as rig:
+    async with Rig(
+        ScriptedServer("s1"), ScriptedServer("s2"), settings=LOCAL_AGENT, await_ready=False
+    ) as rig:
         draining, ready = rig.endpoints
-        await rig.asked(1)
+        await rig.wait_for_calls(1)
         await asyncio.sleep(0.5)
-        assert await rig.ready() is None
-        rig.tell(draining.entry(status="draining"), ready.entry(), index=7, snapshot=True)
-        await rig.until_ready()
+        assert await rig.is_ready() is None
+        rig.queue_list(draining.entry(status="draining"), ready.entry(), index=7, snapshot=True)
+        await rig.wait_until_ready()
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
-        assert (len(draining.got), len(ready.got)) == (0, 6)
+        assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
         targets = targets_of(rig.discovery)
         assert targets[0] == b"/v1/endpoints"  # complete: the agent's revisions need not continue ours
         assert targets[1].startswith(b"/v1/endpoints?since=7&timeout_ms=600")
@@ -100,8 +102,8 @@
 
 @real
 async def test_proxy_serves_although_the_local_agent_never_responds() -> None:
-    async with Rig(Party("s1"), settings=LOCAL_AGENT) as rig:
-        assert (await rig.ask())[0] == 200
+    async with Rig(ScriptedServer("s1"), settings=LOCAL_AGENT) as rig:
+        assert (await rig.get_response())[0] == 200
 
 
 @real
@@ -114,28 +116,28 @@
     """
     is_back = asyncio.Event()
 
-    async def reply(party: Party) -> bytes | None:
-        if len(party.got) == 1:
-            return rig.list_of(draining.entry(), ready.entry(), index=4, snapshot=True)
+    async def reply(scripted_server: ScriptedServer) -> bytes | None:
+        if len(scripted_server.received_requests) == 1:
+            return rig.list_response(draining.entry(), ready.entry(), index=4, snapshot=True)
         if not is_back.is_set():
             return None
         await asyncio.sleep(delay_s)
-        return rig.list_of(draining.entry(status="draining"), index=9)
+        return rig.list_response(draining.entry(status="draining"), index=9)
 
-    rig = Rig(Party("s1"), Party("s2"), settings=LOCAL_AGENT)
+    rig = Rig(ScriptedServer("s1"), ScriptedServer("s2"), settings=LOCAL_AGENT)
     draining, ready = rig.endpoints
     rig.discovery.reply = reply
     async with rig:
-        await calls_until(rig.discovery, b"timeout_ms=1")
-        calls_before = len(rig.discovery.got)
-        while len(rig.discovery.got) < calls_before + 3:
+        await wait_for_target(rig.discovery, b"timeout_ms=1")
+        calls_before = len(rig.discovery.received_requests)
+        while len(rig.discovery.received_requests) < calls_before + 3:
             await asyncio.sleep(0.001)
         is_back.set()
         back_at = time.monotonic()
-        await calls_until(rig.discovery, b"since=9&")
+        await wait_for_target(rig.discovery, b"since=9&")
         assert time.monotonic() - back_at < delay_s + 1.0  # 0.15 s, and what a busy host adds
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
-        assert (len(draining.got), len(ready.got)) == (0, 6)
+        assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
 
 
 # ---- a stalled watch ----------------------------------------------------------------------------------
@@ -150,27 +152,27 @@
     """
     responses = 0
 
-    def reply(party: Party) -> bytes | None:
+    def reply(scripted_server: ScriptedServer) -> bytes | None:
         nonlocal responses
-        if b"&timeout_ms=200 " in party.got[-1][0]:
+        if b"&timeout_ms=200 " in scripted_server.received_requests[-1][0]:
             return None
         responses += 1
         if responses == 1:
-            return rig.list_of(draining.entry(), ready.entry(), index=4, snapshot=True)
-        return rig.list_of(draining.entry(status="draining"), index=9)
+            return rig.list_response(draining.entry(), ready.entry(), index=4, snapshot=True)
+        return rig.list_response(draining.entry(status="draining"), index=9)
 
-    rig = Rig(Party("s1"), Party("s2"), settings=settings | with_update_time(UPDATE_TIME_S))
+    rig = Rig(ScriptedServer("s1"), ScriptedServer("s2"), settings=settings | with_update_time(UPDATE_TIME_S))
     draining, ready = rig.endpoints
     rig.discovery.reply = reply
     async with rig:
-        targets = await calls_until(rig.discovery, b"since=9&")
+        targets = await wait_for_target(rig.discovery, b"since=9&")
         assert targets[-3:] == [
             b"/v1/endpoints?since=4&timeout_ms=200",
             b"/v1/endpoints?since=4&timeout_ms=1",  # from the last revision that was received
             b"/v1/endpoints?since=9&timeout_ms=200",
         ]
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
-        assert (len(draining.got), len(ready.got)) == (0, 6)
+        assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
 
 
 @real
@@ -186,36 +188,36 @@
     stalled_at: float | None = None
     calls_without_wait = 0
 
-    async def reply(party: Party) -> bytes | None:
+    async def reply(scripted_server: ScriptedServer) -> bytes | None:
         nonlocal stalled_at, calls_without_wait
-        is_first_call = len(party.got) == 1
+        is_first_call = len(scripted_server.received_requests) == 1
         if is_first_call:
-            return rig.list_of(draining.entry(), ready.entry(), index=4, snapshot=True)
-        if b"&timeout_ms=1 " not in party.got[-1][0]:
+            return rig.list_response(draining.entry(), ready.entry(), index=4, snapshot=True)
+        if b"&timeout_ms=1 " not in scripted_server.received_requests[-1][0]:
             stalled_at = stalled_at or time.monotonic()
             return None
         calls_without_wait += 1
         if calls_without_wait == 1:
             return failed_responses[failure]
         await asyncio.sleep(0.2 * UPDATE_TIME_S)
-        return rig.list_of(draining.entry(status="draining"), index=9)
+        return rig.list_response(draining.entry(status="draining"), index=9)
 
-    rig = Rig(Party("s1"), Party("s2"), settings=with_update_time(UPDATE_TIME_S))
+    rig = Rig(ScriptedServer("s1"), ScriptedServer("s2"), settings=with_update_time(UPDATE_TIME_S))
     failed_responses = {
         "no response": None,
         "rejected": BARE_503,
         "garbage": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{]",
         "reset": b"",
-        "unknown status": rig.list_of({"name": "s1", "address": "127.0.0.1:1", "status": "resting"}),
+        "unknown status": rig.list_response({"name": "s1", "address": "127.0.0.1:1", "status": "resting"}),
     }
     draining, ready = rig.endpoints
     rig.discovery.reply = reply
     async with rig:
-        await calls_until(rig.discovery, b"since=9&")
+        await wait_for_target(rig.discovery, b"since=9&")
         assert stalled_at is not None
         assert time.monotonic() - stalled_at < UPDATE_TIME_S
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
-        assert (len(draining.got), len(ready.got)) == (0, 6)
+        assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
 
 
 # ---- revisions, and lists in unusual forms ---------------------------------------------------------------
@@ -225,58 +227,58 @@
 async def test_older_revision_on_a_watch_leads_to_a_request_for_the_complete_list() -> None:
     """Discovery has lost its data and numbers its revisions anew: they cannot be compared with ours."""
 
-    def reply(party: Party) -> bytes | None:
-        request_line = party.got[-1][0]
+    def reply(scripted_server: ScriptedServer) -> bytes | None:
+        request_line = scripted_server.received_requests[-1][0]
         if b"since=" not in request_line:
-            return rig.list_of(ready.entry(), index=2, snapshot=True)
+            return rig.list_response(ready.entry(), index=2, snapshot=True)
         if b"since=40&" in request_line:  # as if s1, which is draining by now, were ready again
-            return rig.list_of(draining.entry(), index=1)
+            return rig.list_response(draining.entry(), index=1)
         if b"since=2&" in request_line:
             return None
-        return rig.list_of(draining.entry(status="draining"), ready.entry(), index=40, snapshot=True)
+        return rig.list_response(draining.entry(status="draining"), ready.entry(), index=40, snapshot=True)
 
-    rig = Rig(Party("s1"), Party("s2"))
+    rig = Rig(ScriptedServer("s1"), ScriptedServer("s2"))
     draining, ready = rig.endpoints
     rig.discovery.reply = reply
     async with rig:
-        targets = await calls_until(rig.discovery, b"since=2&")
+        targets = await wait_for_target(rig.discovery, b"since=2&")
         assert [target[:23] for target in targets[-3:]] == [
             b"/v1/endpoints?since=40&",
             b"/v1/endpoints",
             b"/v1/endpoints?since=2&t",
         ]
         assert await statuses_of_requests(rig, 6, "pay") == [200] * 6
-        assert (len(draining.got), len(ready.got)) == (0, 6)
+        assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
 
 
 @real
 async def test_revisions_that_go_back_each_time_do_not_cause_a_storm_of_calls() -> None:
     """Two services that do not know of each other may respond in turn: complete lists of 40, updates of 1."""
 
-    def reply(party: Party) -> bytes:
-        is_complete = b"since=" not in party.got[-1][0]
-        return Rig.list_of(None, index=40 if is_complete else 1, snapshot=is_complete)
+    def reply(scripted_server: ScriptedServer) -> bytes:
+        is_complete = b"since=" not in scripted_server.received_requests[-1][0]
+        return Rig.list_response(None, index=40 if is_complete else 1, snapshot=is_complete)
 
-    inconsistent = Party("discovery", reply)
+    inconsistent = ScriptedServer("discovery", reply)
     await inconsistent.start()
     settings = read_settings(flatten(SETTINGS))
     client = DiscoveryClient(("127.0.0.1", inconsistent.port), RecordingExchange(), settings, 40)
     client.watch(True)
     await asyncio.sleep(1.0)
     client.watch(False)
-    assert 4 <= len(inconsistent.got) <= 20  # two for each backoff of 0.15 s or more
+    assert 4 <= len(inconsistent.received_requests) <= 20  # two for each backoff of 0.15 s or more
     inconsistent.server.close()
 
 
 @real
 async def test_indented_list_is_read() -> None:
-    async with Rig(Party("s1"), Party("s2")) as rig:
+    async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         removed, ready = rig.endpoints
-        await rig.asked(1)
-        rig.tell_raw(rig.list_of(ready.entry(), index=5, snapshot=True, indent="\t"))
-        await rig.asked(2)
+        await rig.wait_for_calls(1)
+        rig.queue_response(rig.list_response(ready.entry(), index=5, snapshot=True, indent="\t"))
+        await rig.wait_for_calls(2)
         assert await statuses_of_requests(rig, 4) == [200] * 4
-        assert (len(removed.got), len(ready.got)) == (0, 4)
+        assert (len(removed.received_requests), len(ready.received_requests)) == (0, 4)
 
 
 # ---- failures -------------------------------------------------------------------------------------------
@@ -285,7 +287,7 @@
 @real
 async def test_unexpected_errors_do_not_end_the_watch() -> None:
     """The exchange fails with an error that nobody expected: the same update is requested again."""
-    discovery = Party("discovery", Rig.list_of(None, index=7))
+    discovery = ScriptedServer("discovery", Rig.list_response(None, index=7))
     await discovery.start()
     exchange = FailingExchange(errors=3)
     settings = read_settings(flatten(SETTINGS | with_update_time(0.2)))
@@ -306,28 +308,28 @@
     The first complete list of the new discovery counts, whatever its revision.
     """
 
-    def reply(party: Party) -> bytes | None:
-        call_number = len(party.got)
+    def reply(scripted_server: ScriptedServer) -> bytes | None:
+        call_number = len(scripted_server.received_requests)
         if call_number == 3:
-            return rig.list_of(new.entry(), index=0, snapshot=True)
+            return rig.list_response(new.entry(), index=0, snapshot=True)
         return b"" if call_number == 1 else None
 
-    second_discovery = Party("discovery-2", reply)
+    second_discovery = ScriptedServer("discovery-2", reply)
     await second_discovery.start()
-    async with Rig(Party("s1"), Party("s2")) as rig:
+    async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         old, new = rig.endpoints
-        rig.tell(old.entry(), index=99, snapshot=True)
-        await rig.asked(2)
+        rig.queue_list(old.entry(), index=99, snapshot=True)
+        await rig.wait_for_calls(2)
         rig.reload(json.dumps(rig.config | {"discovery": f"127.0.0.1:{second_discovery.port}"}))
-        while len(second_discovery.got) < 3:
-            assert (await rig.ask())[0] == 200
-            assert not new.got
+        while len(second_discovery.received_requests) < 3:
+            assert (await rig.get_response())[0] == 200
+            assert not new.received_requests
             await asyncio.sleep(0.02)
-        while len(second_discovery.got) < 4:
+        while len(second_discovery.received_requests) < 4:
             await asyncio.sleep(0.005)
-        old_count = len(old.got)
+        old_count = len(old.received_requests)
         assert await statuses_of_requests(rig, 4) == [200] * 4
-        assert (len(old.got), len(new.got)) == (old_count, 4)
+        assert (len(old.received_requests), len(new.received_requests)) == (old_count, 4)
         targets = targets_of(second_discovery)
         assert targets[:3] == [b"/v1/endpoints"] * 3
         assert targets[3].startswith(b"/v1/endpoints?since=0&")
@@ -353,12 +355,12 @@
     delays: dict[int, list[float]] = {}
     revisions_sent: set[bytes] = set()
 
-    def reply(party: Party) -> bytes:
-        since = party.got[-1][0].partition(b"since=")[2].partition(b"&")[0]
+    def reply(scripted_server: ScriptedServer) -> bytes:
+        since = scripted_server.received_requests[-1][0].partition(b"since=")[2].partition(b"&")[0]
         if not since or since in revisions_sent:
             return BARE_503 if is_moved else b""
         revisions_sent.add(since)
-        return Rig.list_of(None, index=int(since))
+        return Rig.list_response(None, index=int(since))
 
     async def record_delay(seconds: float, sleep=asyncio.sleep) -> None:
         task_name = asyncio.current_task().get_name()
@@ -369,7 +371,7 @@
                 raise asyncio.CancelledError
         await sleep(0.0)
 
-    failing = Party("discovery", reply)
+    failing = ScriptedServer("discovery", reply)
     await failing.start()
     monkeypatch.setattr(asyncio, "sleep", record_delay)
     settings = read_settings(flatten(SETTINGS))
@@ -387,7 +389,9 @@
     await asyncio.gather(*watch_tasks, return_exceptions=True)
 
     assert len(revisions_sent) == (0 if is_moved else PROXY_COUNT)
-    assert failing.opened == BACKOFF_COUNT * PROXY_COUNT  # one before each delay: no call connects twice
+    assert (
+        failing.accepted_connections == BACKOFF_COUNT * PROXY_COUNT
+    )  # one before each delay: no call connects twice
     for number, longest in enumerate(longest_delays):
         nth_delays = [delays[seed][number] for seed in range(PROXY_COUNT)]
         assert all(longest / 2 <= delay <= longest for delay in nth_delays)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 import pytest
-from rig import SETTINGS, Party, Rig, read_message, real, request
+from rig import SETTINGS, Rig, ScriptedServer, read_message, real, request
 
 from alderspool.balancer.settings import RequestClass, Settings
 from alderspool.program.graceful_shutdown import CHECK_INTERVAL_S, ShutdownBudget, shut_down
@@ -212,7 +212,7 @@
     """Send SIGTERM and wait until the proxy drains; return when the signal was sent."""
     sent_at_s = time.monotonic()
     rig.proxy.send_signal(signal.SIGTERM)
-    while await rig.ready():
+    while await rig.is_ready():
         await asyncio.sleep(POLL_INTERVAL_S)
     return sent_at_s
 
@@ -226,9 +226,9 @@
     """
     classes = [SETTINGS["classes"][1] | {"deadline_ms": longest_deadline_ms}]
     counted_deadline_s = min(longest_deadline_ms, 3000.0) / 1000.0
-    async with Rig(Party("s1", None), settings={"classes": classes}) as rig:
+    async with Rig(ScriptedServer("s1", None), settings={"classes": classes}) as rig:
         before = await rig.connect(request("pay", 60000))
-        while not rig.endpoints[0].got:
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(POLL_INTERVAL_S)
         sent_at_s = await start_shutdown(rig)
         within = await rig.connect(request("pay", 60000))
@@ -246,7 +246,7 @@
 
     Meanwhile the kernel accepts connections for it, some with a complete request, some with half of one.
     """
-    async with Rig(Party("s1"), Party("s2")) as rig:
+    async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         sent_at_s = await start_shutdown(rig)
         rig.proxy.send_signal(signal.SIGSTOP)
         complete = [await rig.connect(request("pay")) for _ in range(20)]
@@ -266,13 +266,13 @@
 async def test_serves_pipelined_requests_before_their_connection_ends() -> None:
     release = asyncio.Event()
 
-    async def respond_when_released(party: Party) -> bytes:
+    async def respond_when_released(scripted_server: ScriptedServer) -> bytes:
         await release.wait()
         return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-    async with Rig(Party("s1", respond_when_released)) as rig:
+    async with Rig(ScriptedServer("s1", respond_when_released)) as rig:
         reader, _ = await rig.connect(request("pay") + request("pay") + request("look"))
-        while not rig.endpoints[0].got:
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(POLL_INTERVAL_S)
         await start_shutdown(rig)
         release.set()
@@ -285,7 +285,7 @@
 
 @real
 async def test_incomplete_request_does_not_delay_the_shutdown_beyond_its_deadline() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         sent_at_s = await start_shutdown(rig)
         reader, writer = await rig.connect(request("pay")[:40])
         response = asyncio.create_task(reader.read())
@@ -301,10 +301,10 @@
 @real
 async def test_reads_what_came_while_the_proxy_was_paused_before_the_idle_timeout_closes() -> None:
     """Half a request was read; its rest comes while the proxy is stopped for longer than its idle timeout."""
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         sent = request("pay")
         reader, writer = await rig.connect(sent[:40])
-        assert await rig.ready()  # by now the half is read
+        assert await rig.is_ready()  # by now the half is read
         rig.proxy.send_signal(signal.SIGSTOP)
         writer.write(sent[40:])
         await asyncio.sleep(2.5)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,20 +8,20 @@
 import time
 
 import pytest
-from rig import BARE_503, NOT_RUN, OK, SETTINGS, Party, Rig, real, request
+from rig import BARE_503, NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, real, request
 
 ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 CHUNKED = b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-async def dead() -> Party:
+async def dead() -> ScriptedServer:
     """Return an endpoint that refuses connections."""
-    party = Party("dead")
-    await party.start()
-    party.server.close()
-    await party.server.wait_closed()
-    party.start = lambda: asyncio.sleep(0)
-    return party
+    scripted_server = ScriptedServer("dead")
+    await scripted_server.start()
+    scripted_server.server.close()
+    await scripted_server.server.wait_closed()
+    scripted_server.start = lambda: asyncio.sleep(0)
+    return scripted_server
 
 
 # ---- rule 1: one final response, in time -----------------------------------------------------------------
@@ -32,12 +32,12 @@
 async def test_request_at_a_silent_endpoint_has_a_response_at_its_deadline(
     cls: str, statuses: tuple[int, ...]
 ) -> None:
-    async with Rig(Party("s1", None)) as rig:
+    async with Rig(ScriptedServer("s1", None)) as rig:
         started = time.monotonic()
-        status, _, _ = await rig.ask(cls, wait=600)
+        status, _, _ = await rig.get_response(cls, deadline_ms=600)
         assert status in statuses  # 503 would state that it has not run
         assert time.monotonic() - started >= 0.55
-        assert len(rig.endpoints[0].got) == 1
+        assert len(rig.endpoints[0].received_requests) == 1
 
 
 @real
@@ -45,30 +45,32 @@
     """Its response to an expired request must not reach the next request that is forwarded to it."""
     wake = asyncio.Event()
 
-    async def hang_once(party: Party) -> bytes:
-        name = party.got[-1][1]["x-request-id"].encode()
-        if len(party.got) == 1:
+    async def hang_once(scripted_server: ScriptedServer) -> bytes:
+        name = scripted_server.received_requests[-1][1]["x-request-id"].encode()
+        if len(scripted_server.received_requests) == 1:
             await wake.wait()
         return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(name), name)
 
-    async with Rig(Party("s1", hang_once)) as rig:
-        assert (await rig.ask("pay", wait=300, X_Request_Id="r-1"))[0] == 504
+    async with Rig(ScriptedServer("s1", hang_once)) as rig:
+        assert (await rig.get_response("pay", deadline_ms=300, X_Request_Id="r-1"))[0] == 504
         wake.set()
-        responses = [await rig.ask("pay", X_Request_Id=f"r-{n}") for n in range(2, 6)]
+        responses = [await rig.get_response("pay", X_Request_Id=f"r-{n}") for n in range(2, 6)]
         assert [(status, body) for status, _, body in responses] == [(200, b"r-%d" % n) for n in range(2, 6)]
-        assert rig.endpoints[0].opened >= 2  # its first connection was closed with the request
+        assert rig.endpoints[0].accepted_connections >= 2  # its first connection was closed with the request
 
 
 @real
 async def test_after_a_pause_expired_requests_have_a_response_and_new_ones_are_served() -> None:
-    async with Rig(Party("s1", None), Party("s2")) as rig:
-        expiring = asyncio.create_task(rig.ask("pay", wait=1000))
-        while not rig.endpoints[0].got:
+    async with Rig(ScriptedServer("s1", None), ScriptedServer("s2")) as rig:
+        expiring = asyncio.create_task(rig.get_response("pay", deadline_ms=1000))
+        while not rig.endpoints[0].received_requests:
             if expiring.done():  # it was forwarded to the other endpoint
-                expiring = asyncio.create_task(rig.ask("pay", wait=1000))
+                expiring = asyncio.create_task(rig.get_response("pay", deadline_ms=1000))
             await asyncio.sleep(0.005)
         rig.proxy.send_signal(signal.SIGSTOP)
-        received_in_pause = [asyncio.create_task(rig.ask("look", wait=20000)) for _ in range(4)]
+        received_in_pause = [
+            asyncio.create_task(rig.get_response("look", deadline_ms=20000)) for _ in range(4)
+        ]
         await asyncio.sleep(3.0)
         rig.proxy.send_signal(signal.SIGCONT)
         assert (await expiring)[0] == 504
@@ -78,27 +80,29 @@
 @real
 async def test_uses_all_of_a_thousand_endpoints_of_unknown_zones_types_and_groups() -> None:
     """1,024 endpoints at 8 addresses; first in a complete list, then in a list of changes."""
-    parties = [Party(f"m{n}") for n in range(8)]
+    scripted_servers = [ScriptedServer(f"m{n}") for n in range(8)]
 
     def entries(status: str = "ready", share: int = 8) -> list[dict]:
         return [
-            parties[n % 8].entry(
+            scripted_servers[n % 8].entry(
                 name=f"s{n}", zone=f"z{n % 41}", type=f"t{n % 19}", group=n // 5, status=status
             )
             for n in range(1024)
             if n % 8 < share
         ]
 
-    async with Rig(*parties) as rig:
-        rig.tell(*entries(), index=5, snapshot=True)
-        await rig.asked(2)
-        assert {(await rig.ask("pay"))[0] for _ in range(600)} == {200}
-        assert sum(p.opened for p in parties) > 550  # each request used another endpoint than those before
-        rig.tell(*entries("draining", 7), index=6)
-        await rig.asked(3)
-        before = [len(p.got) for p in parties]
-        assert {(await rig.ask("pay"))[0] for _ in range(50)} == {200}
-        assert [len(p.got) for p in parties[:7]] == before[:7]
+    async with Rig(*scripted_servers) as rig:
+        rig.queue_list(*entries(), index=5, snapshot=True)
+        await rig.wait_for_calls(2)
+        assert {(await rig.get_response("pay"))[0] for _ in range(600)} == {200}
+        assert (
+            sum(p.accepted_connections for p in scripted_servers) > 550
+        )  # each request used another endpoint than those before
+        rig.queue_list(*entries("draining", 7), index=6)
+        await rig.wait_for_calls(3)
+        before = [len(p.received_requests) for p in scripted_servers]
+        assert {(await rig.get_response("pay"))[0] for _ in range(50)} == {200}
+        assert [len(p.received_requests) for p in scripted_servers[:7]] == before[:7]
 
 
 @real
@@ -106,7 +110,7 @@
     """Without Retry-After too, as the settings do not allow it."""
     async with Rig() as rig:
         started = time.monotonic()
-        status, headers, _ = await rig.ask("look", wait=20000)
+        status, headers, _ = await rig.get_response("look", deadline_ms=20000)
         assert status == 503 and "retry-after" not in headers
         assert time.monotonic() - started < 10.0
 
@@ -115,36 +119,38 @@
 async def test_rejection_has_retry_after_where_the_settings_allow_it() -> None:
     bounds = {"bounds": {"retry_after": True, "max_retry_after_ms": 250.0}}
     async with Rig(settings=bounds) as rig:
-        status, headers, _ = await rig.ask("pay", wait=20000)
+        status, headers, _ = await rig.get_response("pay", deadline_ms=20000)
         assert status == 503 and headers["retry-after"] == "0.250"
 
 
 @real
 async def test_client_disconnect_cancels_the_attempt() -> None:
-    async with Rig(Party("s1", None), settings={"bounds": {"cancel": True, "may_duplicate": True}}) as rig:
+    async with Rig(
+        ScriptedServer("s1", None), settings={"bounds": {"cancel": True, "may_duplicate": True}}
+    ) as rig:
         _, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(request("pay", 20000))
-        while not rig.endpoints[0].got:
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(0.005)
         writer.close()
-        await asyncio.wait_for(rig.endpoints[0].ended.wait(), 10.0)
+        await asyncio.wait_for(rig.endpoints[0].peer_closed.wait(), 10.0)
 
 
 @real
 async def test_sigterm_completes_pending_requests_and_exits_with_zero() -> None:
     release = asyncio.Event()
 
-    async def respond_late(party: Party) -> bytes:
+    async def respond_late(scripted_server: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    async with Rig(Party("s1", respond_late)) as rig:
-        first = asyncio.create_task(rig.ask("pay"))
-        while not rig.endpoints[0].got:
+    async with Rig(ScriptedServer("s1", respond_late)) as rig:
+        first = asyncio.create_task(rig.get_response("pay"))
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(0.005)
         rig.proxy.send_signal(signal.SIGTERM)
-        second = asyncio.create_task(rig.ask("pay"))  # new requests are still accepted
-        while len(rig.endpoints[0].got) < 2 or await rig.ready():
+        second = asyncio.create_task(rig.get_response("pay"))  # new requests are still accepted
+        while len(rig.endpoints[0].received_requests) < 2 or await rig.is_ready():
             await asyncio.sleep(0.005)
         release.set()
         for status, headers, body in (await first, await second):
@@ -175,49 +181,59 @@
 async def test_non_idempotent_request_is_not_retried_after_it_may_have_run(
     reply: bytes, statuses: tuple[int, ...], attempts: int
 ) -> None:
-    async with Rig(Party("s1", reply), Party("s2", reply)) as rig:
-        status, _, body = await rig.ask("pay", wait=900)
+    async with Rig(ScriptedServer("s1", reply), ScriptedServer("s2", reply)) as rig:
+        status, _, body = await rig.get_response("pay", deadline_ms=900)
         assert status in statuses
         assert body == b"done" or status != 200
-        sent = sum(len(endpoint.got) for endpoint in rig.endpoints)
+        sent = sum(len(endpoint.received_requests) for endpoint in rig.endpoints)
         assert sent == 1 if attempts == 1 else sent >= 2
 
 
 @real
 async def test_retries_non_idempotent_request_after_connection_refused() -> None:
-    async with Rig(await dead(), Party("s2"), Party("s3")) as rig:
-        assert [(await rig.ask("pay"))[0] for _ in range(6)] == [200] * 6
+    async with Rig(await dead(), ScriptedServer("s2"), ScriptedServer("s3")) as rig:
+        assert [(await rig.get_response("pay"))[0] for _ in range(6)] == [200] * 6
 
 
 @real
 async def test_retry_of_keyed_request_stays_in_its_deduplication_group() -> None:
     """`a` ends its connections without a response; only endpoints of its group may get the retry."""
-    endpoints = [Party("a", b"", group=1), Party("b", group=1), Party("c", b"", group=2), Party("d", group=2)]
+    endpoints = [
+        ScriptedServer("a", b"", group=1),
+        ScriptedServer("b", group=1),
+        ScriptedServer("c", b"", group=2),
+        ScriptedServer("d", group=2),
+    ]
     async with Rig(*endpoints) as rig:
         for number in range(8):
             key = f"k{number}"
-            await rig.ask("put", Idempotency_Key=key)
-            groups = {e.line["group"] for e in endpoints for got in e.got if got[1]["idempotency-key"] == key}
+            await rig.get_response("put", Idempotency_Key=key)
+            groups = {
+                e.entry_changes["group"]
+                for e in endpoints
+                for got in e.received_requests
+                if got[1]["idempotency-key"] == key
+            }
             assert len(groups) == 1
-        assert endpoints[1].got or endpoints[3].got
+        assert endpoints[1].received_requests or endpoints[3].received_requests
 
 
 @real
 async def test_rejects_duplicate_request_id() -> None:
     release = asyncio.Event()
 
-    async def respond_late(party: Party) -> bytes:
+    async def respond_late(scripted_server: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    async with Rig(Party("s1", respond_late)) as rig:
-        first = asyncio.create_task(rig.ask("pay", X_Request_Id="r-1"))
-        while not rig.endpoints[0].got:
+    async with Rig(ScriptedServer("s1", respond_late)) as rig:
+        first = asyncio.create_task(rig.get_response("pay", X_Request_Id="r-1"))
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(0.005)
-        assert (await rig.ask("look", X_Request_Id="r-1"))[0] == 400
+        assert (await rig.get_response("look", X_Request_Id="r-1"))[0] == 400
         release.set()
-        assert (await first)[0] == 200 and len(rig.endpoints[0].got) == 1
-        assert (await rig.ask("look", X_Request_Id="r-1"))[0] == 200  # no longer pending
+        assert (await first)[0] == 200 and len(rig.endpoints[0].received_requests) == 1
+        assert (await rig.get_response("look", X_Request_Id="r-1"))[0] == 200  # no longer pending
 
 
 # ---- rule 3: draining endpoints --------------------------------------------------------------------------
@@ -226,19 +242,19 @@
 @real
 @pytest.mark.parametrize("state", ["draining", "gone", "missing"])
 async def test_forwards_nothing_to_a_draining_endpoint(state: str) -> None:
-    async with Rig(Party("s1"), Party("s2")) as rig:
-        await asyncio.gather(*(rig.ask() for _ in range(8)))
+    async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
+        await asyncio.gather(*(rig.get_response() for _ in range(8)))
         one, two = rig.endpoints
-        assert one.got and two.got
-        await rig.asked(1)
+        assert one.received_requests and two.received_requests
+        await rig.wait_for_calls(1)
         if state == "missing":
-            rig.tell(two.entry(), snapshot=True)
+            rig.queue_list(two.entry(), snapshot=True)
         else:
-            rig.tell(one.entry(status=state))
-        await rig.asked(2)  # it polls again, so it has read the update
-        before = len(one.got)
-        assert [(await rig.ask())[0] for _ in range(6)] == [200] * 6
-        assert len(one.got) == before
+            rig.queue_list(one.entry(status=state))
+        await rig.wait_for_calls(2)  # it polls again, so it has read the update
+        before = len(one.received_requests)
+        assert [(await rig.get_response())[0] for _ in range(6)] == [200] * 6
+        assert len(one.received_requests) == before
 
 
 @real
@@ -247,32 +263,32 @@
     [b'HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\n{"index":"what"', BARE_503, b"", b"rubbish\r\n\r\n"],
 )
 async def test_watch_continues_at_once_and_a_failed_call_keeps_the_old_list(failure: bytes) -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         gaps = []
         for index in range(5, 8):
-            await rig.asked(index - 4)
-            rig.tell(rig.endpoints[0].entry(), index=index)
+            await rig.wait_for_calls(index - 4)
+            rig.queue_list(rig.endpoints[0].entry(), index=index)
             sent_s = time.monotonic()
-            await rig.asked(index - 3)
+            await rig.wait_for_calls(index - 3)
             gaps.append(rig.calls[-1] - sent_s)
         assert min(gaps) < 0.2  # the best: a busy system must not change the verdict
-        assert b"since=7&" in rig.discovery.got[-1][0]
-        rig.tell_raw(failure)
-        await rig.asked(5)  # after the backoff of a failed call
-        assert b"since=7&" in rig.discovery.got[-1][0]
-        assert (await rig.ask())[0] == 200
+        assert b"since=7&" in rig.discovery.received_requests[-1][0]
+        rig.queue_response(failure)
+        await rig.wait_for_calls(5)  # after the backoff of a failed call
+        assert b"since=7&" in rig.discovery.received_requests[-1][0]
+        assert (await rig.get_response())[0] == 200
 
 
 @real
 async def test_is_ready_only_once_it_can_serve() -> None:
-    endpoint = Party("s1")
+    endpoint = ScriptedServer("s1")
     await endpoint.start()
     async with Rig() as rig:
-        assert await rig.ready() is False
-        rig.tell(endpoint.entry())
-        await rig.asked(2)
-        assert await rig.ready() is True
-        assert (await rig.ask())[0] == 200
+        assert await rig.is_ready() is False
+        rig.queue_list(endpoint.entry())
+        await rig.wait_for_calls(2)
+        assert await rig.is_ready() is True
+        assert (await rig.get_response())[0] == 200
     endpoint.server.close()
 
 
@@ -283,11 +299,13 @@
 async def test_endpoint_in_slow_start_gets_fewer_requests() -> None:
     # The warm-up factor alone leaves it a fifth, whatever speed is measured for either endpoint.
     rules = SETTINGS["rules"] | {"cold_from": 0.1, "cold_ms": 200_000.0}
-    starting, started = Party("s1", since_ms=time.time() * 1000.0), Party("s2")
+    starting, started = ScriptedServer("s1", since_ms=time.time() * 1000.0), ScriptedServer("s2")
     async with Rig(starting, started, settings={"rules": rules}) as rig:
-        while len(started.got) < 30:  # on a busy system some are rejected, which does not matter here
-            await rig.ask()
-        assert len(starting.got) < len(started.got) / 2
+        while (
+            len(started.received_requests) < 30
+        ):  # on a busy system some are rejected, which does not matter here
+            await rig.get_response()
+        assert len(starting.received_requests) < len(started.received_requests) / 2
 
 
 # ---- the protocol ------------------------------------------------------------------------------------
@@ -295,11 +313,11 @@
 
 @real
 async def test_forwards_request_unchanged() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         sent = request("put", 5000, b"\x00body", X_Request_Id="r-77", Connection="keep-alive")
-        status, headers, body = await rig.raw(sent)
+        status, headers, body = await rig.send_raw(sent)
         assert (status, body) == (200, b"done") and "connection" not in headers
-        line, headers_received, body_received = rig.endpoints[0].got[0]
+        line, headers_received, body_received = rig.endpoints[0].received_requests[0]
         assert (line, body_received) == (b"POST /put/7f3a?x=1 HTTP/1.1", b"\x00body")
         assert (headers_received["x-request-id"], headers_received["idempotency-key"]) == ("r-77", "k1")
         assert 0 < int(headers_received["x-deadline-ms"]) <= 5000
@@ -308,31 +326,31 @@
 
 @real
 async def test_reuses_connections_on_both_sides() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         for _ in range(3):
             writer.write(request())
             assert (await reader.readuntil(b"done")).startswith(b"HTTP/1.1 200")
             await asyncio.sleep(0.02)  # the upstream connection becomes idle
-        assert rig.endpoints[0].opened == 1
+        assert rig.endpoints[0].accepted_connections == 1
 
 
 @real
 async def test_endpoint_that_closes_connections_costs_no_request() -> None:
     async with Rig(
-        Party("s1", OK[:-4].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") + b"done")
+        ScriptedServer("s1", OK[:-4].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") + b"done")
     ) as rig:
-        assert [(await rig.ask("pay"))[0] for _ in range(4)] == [200] * 4
-        assert rig.endpoints[0].opened == 4
+        assert [(await rig.get_response("pay"))[0] for _ in range(4)] == [200] * 4
+        assert rig.endpoints[0].accepted_connections == 4
 
 
 @real
 async def test_closes_idle_upstream_connection_before_the_endpoint_would() -> None:
-    async with Rig(Party("s1"), settings={"bounds": {"conn_idle_ms": 1000.0}}) as rig:
-        assert (await rig.ask("pay"))[0] == 200
-        await rig.endpoints[0].ended.wait()  # the endpoint itself closes nothing
-        assert (await rig.ask("pay"))[0] == 200
-        assert rig.endpoints[0].opened == 2
+    async with Rig(ScriptedServer("s1"), settings={"bounds": {"conn_idle_ms": 1000.0}}) as rig:
+        assert (await rig.get_response("pay"))[0] == 200
+        await rig.endpoints[0].peer_closed.wait()  # the endpoint itself closes nothing
+        assert (await rig.get_response("pay"))[0] == 200
+        assert rig.endpoints[0].accepted_connections == 2
 
 
 @real
@@ -346,21 +364,23 @@
         filler.connect_ex(full.getsockname())
     address = f"127.0.0.1:{full.getsockname()[1]}"
     async with Rig(
-        Party("s1", address=address), Party("s2"), settings={"bounds": {"dial_timeout_ms": 100.0}}
+        ScriptedServer("s1", address=address),
+        ScriptedServer("s2"),
+        settings={"bounds": {"dial_timeout_ms": 100.0}},
     ) as rig:
-        assert [(await rig.ask("pay"))[0] for _ in range(4)] == [200] * 4
-        assert rig.endpoints[0].got == []
+        assert [(await rig.get_response("pay"))[0] for _ in range(4)] == [200] * 4
+        assert rig.endpoints[0].received_requests == []
     for sock in (full, *fillers):
         sock.close()
 
 
 @real
 async def test_invalid_input_has_an_error_response_and_is_not_forwarded() -> None:
-    async with Rig(Party("s1")) as rig:
-        assert (await rig.raw(b"not HTTP at all\r\n\r\n"))[0] == 400
-        assert (await rig.raw(b"GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 404
-        assert (await rig.raw(request("pay").replace(b"POST", b"GET")))[0] == 405
-        assert (await rig.raw(request("pay", body=b"x" * 70000)))[0] == 413
-        assert (await rig.ask(X_Tenant="nobody"))[0] == 400
-        assert rig.endpoints[0].got == []
-        assert (await rig.ask())[0] == 200
+    async with Rig(ScriptedServer("s1")) as rig:
+        assert (await rig.send_raw(b"not HTTP at all\r\n\r\n"))[0] == 400
+        assert (await rig.send_raw(b"GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 404
+        assert (await rig.send_raw(request("pay").replace(b"POST", b"GET")))[0] == 405
+        assert (await rig.send_raw(request("pay", body=b"x" * 70000)))[0] == 413
+        assert (await rig.get_response(X_Tenant="nobody"))[0] == 400
+        assert rig.endpoints[0].received_requests == []
+        assert (await rig.get_response())[0] == 200
--- a/tests/test_race_rows.py
+++ b/tests/test_race_rows.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 import pytest
-from rig import LIMIT_S, SETTINGS, Party, Rig, read_message, real, request
+from rig import LIMIT_S, SETTINGS, Rig, ScriptedServer, read_message, real, request
 from test_accept_queue import InProcessListener
 
 from alderspool.balancer.events import AttemptStatus
@@ -93,17 +93,17 @@
     body = b"x" * 65000
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
 
-    def reply(endpoint: Party) -> bytes | None:
-        return response if endpoint.got[-1][0].startswith(b"POST") else None
+    def reply(endpoint: ScriptedServer) -> bytes | None:
+        return response if endpoint.received_requests[-1][0].startswith(b"POST") else None
 
     classes = [SETTINGS["classes"][0], SETTINGS["classes"][1] | {"deadline_ms": 300.0}]
-    async with Rig(Party("s1", reply), settings={"classes": classes}) as rig:
+    async with Rig(ScriptedServer("s1", reply), settings={"classes": classes}) as rig:
         slow_reader, slow_writer = await open_with_small_buffers(rig.port)
         slow_writer.write(request("pay", 60000) * PIPELINED)
-        while len(rig.endpoints[0].got) < 2:
+        while len(rig.endpoints[0].received_requests) < 2:
             await asyncio.sleep(0.005)
         silent_reader, silent_writer = await rig.connect(request("look", 60000))
-        while not any(got[0].startswith(b"GET") for got in rig.endpoints[0].got):
+        while not any(got[0].startswith(b"GET") for got in rig.endpoints[0].received_requests):
             await asyncio.sleep(0.005)
         rig.proxy.send_signal(signal.SIGTERM)
         assert b" 504 " in (await read_message(silent_reader))[0]
@@ -151,7 +151,7 @@
     opens its own.
     """
     limit = 8
-    old, new = Party("s1"), Party("s2")
+    old, new = ScriptedServer("s1"), ScriptedServer("s2")
     await old.start()
     await new.start()
     exchange = AcceptingExchange()
@@ -179,7 +179,11 @@
         while len(exchange.statuses) < expected:
             await asyncio.sleep(0.001)
     assert exchange.statuses == [AttemptStatus.OK] * (2 * limit)
-    assert (old.opened, new.opened, len(open_at_dial)) == (limit, limit, 2 * limit)
+    assert (old.accepted_connections, new.accepted_connections, len(open_at_dial)) == (
+        limit,
+        limit,
+        2 * limit,
+    )
     assert max(open_at_dial) < limit
     pool.close_idle(b"s2")
     old.server.close()
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 import pytest
-from rig import NOT_RUN, OK, SETTINGS, Party, Rig, calls_until, read_message, real, request
+from rig import NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, read_message, real, request, wait_for_target
 
 NO_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
@@ -26,7 +26,7 @@
 
 async def settled(rig: Rig) -> None:
     """Wait until the proxy has processed all earlier events: a request sent after them has been served."""
-    assert (await rig.ask("look"))[0] == 200
+    assert (await rig.get_response("look"))[0] == 200
 
 
 # ---- the client disconnects ------------------------------------------------------------------------------
@@ -42,7 +42,7 @@
 
     With much input behind the request, the proxy does not read up to the end of the stream.
     """
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         await settled(rig)  # opens the connection to the endpoint
         rig.proxy.send_signal(signal.SIGSTOP)
         for n in range(8):
@@ -60,7 +60,7 @@
                 await writer.wait_closed()
         rig.proxy.send_signal(signal.SIGCONT)
         await settled(rig)
-        assert [got[0][:9] for got in rig.endpoints[0].got] == [b"GET /look"] * 2
+        assert [got[0][:9] for got in rig.endpoints[0].received_requests] == [b"GET /look"] * 2
 
 
 @real
@@ -69,33 +69,38 @@
     """With further requests sent behind the first, nothing more is read; then its endpoint rejects it."""
     release = asyncio.Event()
 
-    async def busy(party: Party) -> bytes:
-        if b"/look/" in party.got[-1][0]:
+    async def busy(scripted_server: ScriptedServer) -> bytes:
+        if b"/look/" in scripted_server.received_requests[-1][0]:
             return OK
         await release.wait()
         return NOT_RUN
 
-    async with Rig(Party("s1", busy), Party("s2", busy)) as rig:
+    async with Rig(ScriptedServer("s1", busy), ScriptedServer("s2", busy)) as rig:
         _, writer = await rig.connect(request("pay") * (1 + behind))
-        while not sum(len(endpoint.got) for endpoint in rig.endpoints):
+        while not sum(len(endpoint.received_requests) for endpoint in rig.endpoints):
             await asyncio.sleep(0.005)
         leave(writer)
         await settled(rig)
         release.set()
         await settled(rig)
-        assert sum(got[0].startswith(b"POST") for endpoint in rig.endpoints for got in endpoint.got) == 1
+        assert (
+            sum(
+                got[0].startswith(b"POST") for endpoint in rig.endpoints for got in endpoint.received_requests
+            )
+            == 1
+        )
 
 
 @real
 async def test_cancels_the_attempt_of_a_client_that_disconnected_behind_unread_input() -> None:
     """It is not read while its request is pending; a periodic check detects the disconnect."""
     bounds = SETTINGS["bounds"] | {"may_duplicate": True}
-    async with Rig(Party("s1", None), settings={"bounds": bounds}) as rig:
+    async with Rig(ScriptedServer("s1", None), settings={"bounds": bounds}) as rig:
         _, writer = await rig.connect(request("pay", 60000) * 400)
-        while not rig.endpoints[0].got:
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(0.005)
         reset(writer)
-        await rig.endpoints[0].ended.wait()
+        await rig.endpoints[0].peer_closed.wait()
 
 
 # ---- responses that end with the stream -----------------------------------------------------------
@@ -120,18 +125,18 @@
             writer.close()
 
     got: list[tuple] = []
-    endpoint = Party("s1")
+    endpoint = ScriptedServer("s1")
     async with Rig(endpoint) as rig:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        await rig.asked(1)
+        await rig.wait_for_calls(1)
         lines = [endpoint.entry(address=f"127.0.0.1:{port}", name=name) for name in ("s1", "s2")]
-        rig.tell(*lines, index=5, snapshot=True)
-        await rig.asked(2)
-        first = await rig.ask(cls)
+        rig.queue_list(*lines, index=5, snapshot=True)
+        await rig.wait_for_calls(2)
+        first = await rig.get_response(cls)
         if cls == "pay":  # it may have run, and must not be retried
             assert (first[0], len(got)) == (502, 1)
-            first = await rig.ask(cls)
+            first = await rig.get_response(cls)
         assert (first[0], first[2], len(got)) == (200, b"half and half", 2)
         server.close()
 
@@ -151,17 +156,17 @@
         except OSError:
             ended.set()
 
-    endpoint = Party("s1")
+    endpoint = ScriptedServer("s1")
     async with Rig(endpoint) as rig:
         server = await asyncio.start_server(drip, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        await rig.asked(1)
-        rig.tell(endpoint.entry(address=f"127.0.0.1:{port}"), index=5, snapshot=True)
-        await rig.asked(2)
+        await rig.wait_for_calls(1)
+        rig.queue_list(endpoint.entry(address=f"127.0.0.1:{port}"), index=5, snapshot=True)
+        await rig.wait_for_calls(2)
         for size, status in ((1, 504), (20000, 502)):
             step = size
             ended = asyncio.Event()
-            assert (await rig.ask("pay", wait=400))[0] == status
+            assert (await rig.get_response("pay", deadline_ms=400))[0] == status
             await ended.wait()
         server.close()
 
@@ -177,7 +182,7 @@
     """
     body = b"x" * 65000
 
-    async with Rig(Party("s1", b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body)) as rig:
+    async with Rig(ScriptedServer("s1", b"HTTP/1.1 200 OK\r\nContent-Length: 65000\r\n\r\n" + body)) as rig:
         for _ in range(5):
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -192,7 +197,7 @@
             response = await reader.read()  # to its end: a reset would raise here
             assert response.endswith(body)
             writer.close()
-        assert len(rig.endpoints[0].got) == 5
+        assert len(rig.endpoints[0].received_requests) == 5
 
 
 @real
@@ -203,13 +208,13 @@
     With HTTP/1.0 the proxy serves one request per connection.
     """
     token = "close" if version == b"HTTP/1.1" else "keep-alive"
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         sent = request("pay", Connection=token) + request("pay", Connection=token)
         reader, _writer = await rig.connect(sent.replace(b"HTTP/1.1", version))
         assert (await read_message(reader))[1]["connection"] == "close"
         assert await reader.read() == b""
         await settled(rig)
-        assert sum(got[0].startswith(b"POST") for got in rig.endpoints[0].got) == 1
+        assert sum(got[0].startswith(b"POST") for got in rig.endpoints[0].received_requests) == 1
 
 
 @real
@@ -218,7 +223,7 @@
 
     A request sent just then is not forwarded; its client sees the end of the stream and may send it again.
     """
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await rig.connect(request("pay"))
         await read_message(reader)
         assert await reader.read() == b""  # the proxy has ended its sending
@@ -226,12 +231,12 @@
             writer.write(request("pay"))
             await settled(rig)
         assert not writer.transport.is_closing()  # after a reset the second would have failed
-        assert sum(got[0].startswith(b"POST") for got in rig.endpoints[0].got) == 1
+        assert sum(got[0].startswith(b"POST") for got in rig.endpoints[0].received_requests) == 1
 
 
 @real
 async def test_idle_client_does_not_delay_the_exit() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         kept = [await rig.connect(request("pay")) for _ in range(5)]
         for reader, _ in kept:
             await read_message(reader)
@@ -266,7 +271,7 @@
         while len(statuses) < count:
             self.open_descriptors.append(len(os.listdir(f"/proc/{self._rig.proxy.pid}/fd")))
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                statuses.append((await self._rig.ask("pay"))[0])
+                statuses.append((await self._rig.get_response("pay"))[0])
         return statuses
 
 
@@ -278,20 +283,26 @@
     client that is evicted before its request is read sends it again.
     """
     down = asyncio.Event()
-    moved = Party("discovery-2", lambda party: None if len(party.got) > 1 else complete_list)
+    moved = ScriptedServer(
+        "discovery-2",
+        lambda scripted_server: None if len(scripted_server.received_requests) > 1 else complete_list,
+    )
     await moved.start()
 
-    def reply(party: Party) -> bytes | None:
+    def reply(scripted_server: ScriptedServer) -> bytes | None:
         if down.is_set():
             return b""
-        is_back = b"timeout_ms=1 " in party.got[-1][0] and len(party.got) > 3
-        return rig.list_of(old.entry(status="draining"), index=9) if is_back else None
+        is_back = (
+            b"timeout_ms=1 " in scripted_server.received_requests[-1][0]
+            and len(scripted_server.received_requests) > 3
+        )
+        return rig.list_response(old.entry(status="draining"), index=9) if is_back else None
 
-    rig = Rig(Party("s1"), Party("s2"), Party("s3"))
+    rig = Rig(ScriptedServer("s1"), ScriptedServer("s2"), ScriptedServer("s3"))
     rig.discovery.reply = reply
     old, new, newest = rig.endpoints
     async with rig:
-        complete_list = rig.list_of(newest.entry(), index=1, snapshot=True)
+        complete_list = rig.list_response(newest.entry(), index=1, snapshot=True)
         idle_clients = [asyncio.create_task(reconnect_forever(rig.port)) for _ in range(300)]
         requests = RequestsUnderPressure(rig)
         while not requests.open_descriptors or requests.open_descriptors[-1] < 120:
@@ -299,15 +310,15 @@
         down.set()
         assert 200 in await requests.send(6)
         down.clear()
-        await calls_until(rig.discovery, b"since=9&")
-        before = len(old.got)
+        await wait_for_target(rig.discovery, b"since=9&")
+        before = len(old.received_requests)
         assert 200 in await requests.send(6)
-        assert len(old.got) == before
+        assert len(old.received_requests) == before
         rig.reload(json.dumps(rig.config | {"discovery": f"127.0.0.1:{moved.port}"}))
-        await calls_until(moved, b"since=1&")
-        before = len(old.got), len(new.got)
+        await wait_for_target(moved, b"since=1&")
+        before = len(old.received_requests), len(new.received_requests)
         assert 200 in await requests.send(6)
-        assert (len(old.got), len(new.got)) == before
+        assert (len(old.received_requests), len(new.received_requests)) == before
         assert max(requests.open_descriptors) <= 256
         for task in idle_clients:
             task.cancel()
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from rig import OK, SETTINGS, Party, Rig, real, request
+from rig import OK, SETTINGS, Rig, ScriptedServer, real, request
 
 from alderspool.program.app import run
 from alderspool.program.config import load
@@ -21,7 +21,7 @@
 POLL_INTERVAL_S = 0.005
 
 
-def config_with_discovery_at(rig: Rig, discovery: Party) -> str:
+def config_with_discovery_at(rig: Rig, discovery: ScriptedServer) -> str:
     """Return the text of the rig's configuration file, with another discovery."""
     return json.dumps(rig.config | {"discovery": f"127.0.0.1:{discovery.port}"})
 
@@ -33,28 +33,28 @@
     With the first of them the new file is there. Whether the program read its file before or after that, in
     the end it uses the new discovery.
     """
-    new_discovery = Party("discovery-2", None)
+    new_discovery = ScriptedServer("discovery-2", None)
     await new_discovery.start()
-    async with Rig(Party("s1"), await_ready=False) as rig:
-        await rig.loading()
+    async with Rig(ScriptedServer("s1"), await_ready=False) as rig:
+        await rig.wait_until_started()
         rig.reload(config_with_discovery_at(rig, new_discovery))
-        while await rig.ready() is None:
+        while await rig.is_ready() is None:
             rig.proxy.send_signal(signal.SIGHUP)
             await asyncio.sleep(POLL_INTERVAL_S)
-        while not new_discovery.got:
+        while not new_discovery.received_requests:
             await asyncio.sleep(POLL_INTERVAL_S)
-        assert (await rig.ask())[0] == 200
+        assert (await rig.get_response())[0] == 200
         assert rig.proxy.returncode is None
     new_discovery.server.close()
 
 
 @real
 async def test_sigterm_while_loading_ends_the_program_before_it_accepts() -> None:
-    async with Rig(Party("s1"), await_ready=False) as rig:
-        await rig.loading()
+    async with Rig(ScriptedServer("s1"), await_ready=False) as rig:
+        await rig.wait_until_started()
         while rig.proxy.returncode is None:
             rig.proxy.send_signal(signal.SIGTERM)
-            assert await rig.ready() is None
+            assert await rig.is_ready() is None
             await asyncio.sleep(POLL_INTERVAL_S)
         # The first SIGTERM may come before the program has installed its own handler.
         assert rig.proxy.returncode in (0, -signal.SIGTERM)
@@ -114,21 +114,21 @@
     """A request is at an endpoint; SIGHUP finds an incomplete file, or one that moves discovery."""
     release = asyncio.Event()
 
-    async def respond_when_released(party: Party) -> bytes:
+    async def respond_when_released(scripted_server: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    new_discovery = Party("discovery-2", None)
+    new_discovery = ScriptedServer("discovery-2", None)
     await new_discovery.start()
-    async with Rig(Party("s1", respond_when_released)) as rig:
-        response = asyncio.create_task(rig.raw(request("pay")))
-        while not rig.endpoints[0].got:
+    async with Rig(ScriptedServer("s1", respond_when_released)) as rig:
+        response = asyncio.create_task(rig.send_raw(request("pay")))
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(POLL_INTERVAL_S)
         rig.reload(config_with_discovery_at(rig, new_discovery)[:file_length])
         for number in numbers:
             rig.proxy.send_signal(number)
             await asyncio.sleep(0.02)
-        while await rig.ready():
+        while await rig.is_ready():
             await asyncio.sleep(POLL_INTERVAL_S)
         release.set()
         assert (await response)[0] == 200
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from rig import LIMIT_S, OK, Party, Rig, read_message, real, request
+from rig import LIMIT_S, OK, Rig, ScriptedServer, read_message, real, request
 
 # The rig allows the proxy 256 sockets; this many of them are for clients.
 CLIENT_CONNECTION_LIMIT = 124
@@ -18,7 +18,7 @@
 @real
 async def test_idle_clients_are_closed_before_descriptors_run_out() -> None:
     """More clients come than the proxy may have sockets, and each is served."""
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         open_writers = []
         for _ in range(300):
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
@@ -32,7 +32,7 @@
 @real
 async def test_client_beyond_the_descriptor_limit_gets_503_also_during_shutdown() -> None:
     """Each of 220 clients sends a request to which no endpoint responds."""
-    async with Rig(Party("s1", None)) as rig:
+    async with Rig(ScriptedServer("s1", None)) as rig:
         clients = []
         for _ in range(220):
             clients.append(await asyncio.open_connection("127.0.0.1", rig.port))
@@ -45,7 +45,7 @@
         rig.proxy.send_signal(signal.SIGTERM)
         while True:  # until the listening socket is closed: a response or no connection, never a reset
             try:
-                status, _, _ = await rig.raw(request("pay", 60000))
+                status, _, _ = await rig.send_raw(request("pay", 60000))
             except ConnectionRefusedError:
                 break
             assert status in (503, 504)  # 504: it took the place of the client that polls for readiness
@@ -58,13 +58,13 @@
 
 @real
 async def test_pipelined_requests_are_served_in_order() -> None:
-    async with Rig(Party("s1", OK)) as rig:
+    async with Rig(ScriptedServer("s1", OK)) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(request() + request("pay", body=b"b"))
         for _ in range(2):
             assert (await reader.readuntil(b"done")).startswith(b"HTTP/1.1 200")
         writer.close()
-        assert [line.split()[0] for line, _, _ in rig.endpoints[0].got] == [b"GET", b"POST"]
+        assert [line.split()[0] for line, _, _ in rig.endpoints[0].received_requests] == [b"GET", b"POST"]
 
 
 @real
@@ -83,7 +83,7 @@
                 connection_headers.append(connection_header)
             writer.close()
 
-    async with Rig(Party("s1"), Party("s2")) as rig:
+    async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         connection_headers: list[str] = []
         clients = [asyncio.create_task(send_requests(rig, connection_headers)) for _ in range(3)]
         while len(connection_headers) < 30:
@@ -98,37 +98,37 @@
 async def test_reload_switches_to_the_new_discovery_from_its_complete_list_and_loses_no_request() -> None:
     release = asyncio.Event()
 
-    async def respond_when_released(party: Party) -> bytes:
+    async def respond_when_released(scripted_server: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    def list_once(party: Party) -> bytes | None:
-        return None if len(party.got) > 1 else complete_list
+    def list_once(scripted_server: ScriptedServer) -> bytes | None:
+        return None if len(scripted_server.received_requests) > 1 else complete_list
 
-    async with Rig(Party("s1", respond_when_released), Party("s2")) as rig:
+    async with Rig(ScriptedServer("s1", respond_when_released), ScriptedServer("s2")) as rig:
         old, new = rig.endpoints
-        new_discovery = Party("discovery-2", list_once)
+        new_discovery = ScriptedServer("discovery-2", list_once)
         body = json.dumps({"index": 0, "snapshot": True, "endpoints": [new.entry()]}).encode()
         complete_list = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
         await new_discovery.start()
-        await rig.asked(1)
-        while not old.got:  # until a request is out at the old endpoint
-            pending = asyncio.create_task(rig.ask(wait=20000))
-            while not (old.got or pending.done()):
+        await rig.wait_for_calls(1)
+        while not old.received_requests:  # until a request is out at the old endpoint
+            pending = asyncio.create_task(rig.get_response(deadline_ms=20000))
+            while not (old.received_requests or pending.done()):
                 await asyncio.sleep(0.005)
         for unusable in ("{", json.dumps(rig.config | {"discovery": "nowhere"})):
             rig.reload(unusable)
-            assert await rig.ready()  # the old configuration stays in force
+            assert await rig.is_ready()  # the old configuration stays in force
             assert len(rig.calls) == 1
         started = time.monotonic()
         rig.reload(json.dumps(rig.config | {"discovery": f"127.0.0.1:{new_discovery.port}"}))
-        while len(new_discovery.got) < 2:
+        while len(new_discovery.received_requests) < 2:
             await asyncio.sleep(0.005)
         assert time.monotonic() - started < 4.0
-        targets = [line.split()[1][:22] for line, _, _ in new_discovery.got]
+        targets = [line.split()[1][:22] for line, _, _ in new_discovery.received_requests]
         assert targets == [b"/v1/endpoints", b"/v1/endpoints?since=0&"]
-        assert [(await rig.ask())[0] for _ in range(6)] == [200] * 6
-        assert len(old.got) == 1  # no longer listed
+        assert [(await rig.get_response())[0] for _ in range(6)] == [200] * 6
+        assert len(old.received_requests) == 1  # no longer listed
         release.set()
         assert (await pending)[0] == 200
         rig.proxy.send_signal(signal.SIGTERM)
@@ -143,7 +143,7 @@
     ids=["nothing", "part-of-a-head", "part-of-a-body", "part-of-a-second-head"],
 )
 async def test_client_without_a_complete_request_is_closed_soon_though_it_keeps_sending(sent: bytes) -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         started = time.monotonic()
         writer.write(sent)
@@ -158,7 +158,7 @@
 
 @real
 async def test_flood_of_silent_connections_leaves_the_connections_of_active_clients_open() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         silent = []
         for _ in range(12):
@@ -171,7 +171,7 @@
 
 @real
 async def test_clients_that_stay_idle_after_one_request_do_not_keep_others_out() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         open_writers = []
         announced_closes = 0
         for _ in range(80):
@@ -189,11 +189,11 @@
 
 @real
 async def test_invalid_request_ends_its_connection_and_what_follows_is_not_read() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(request("look").replace(b"/look/", b"/lock/") + request())
         assert (await reader.read(-1)).count(b"HTTP/1.1") == 1
-        assert rig.endpoints[0].got == []
+        assert rig.endpoints[0].received_requests == []
         writer.close()
 
 
@@ -205,10 +205,10 @@
         lines = Path(f"/proc/{rig.proxy.pid}/status").read_text().splitlines()
         return next(int(line.split()[1]) for line in lines if line.startswith("VmRSS"))
 
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         samples_kb = []
         for _ in range(4):
             for _ in range(300):
-                assert (await rig.ask())[0] == 200
+                assert (await rig.get_response())[0] == 200
             samples_kb.append(resident_kb(rig))
         assert samples_kb[-1] - samples_kb[0] < 1200  # 900 more connections; about 2 KB each if not freed
