--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -69,11 +69,11 @@
         return self.handle(EndpointListUpdate(mode, [*entries]))
 
     def list_endpoints(self, n: int, **fields: object) -> None:
-        """Feed a complete list of n ready endpoints."""
+        """Feed a complete endpoint list with n ready endpoints."""
         self.update_list(*(EndpointEntry(endpoint_id(i), **fields) for i in range(n)))
 
     def request(self, cls: int = 0, left: float | None = None, **fields: object) -> list[Action]:
-        """Feed a request with the next id, from 1 on; its remaining time is by default the deadline of its class."""
+        """Feed a request with the next id, from 1 on; its deadline is by default that of its class."""
         self.next_id += 1
         left = self.cfg.classes[cls].deadline_ms if left is None else left
         return self.handle(Request(self.next_id, left, cls, **fields))
@@ -95,7 +95,7 @@
         return self.handle(TimerFired(token))
 
     def serve(self, n: int, took: float = 5.0, cls: int = 0) -> list[bytes]:
-        """Serve n requests one after the other, each with this latency; return the endpoints that served them."""
+        """Serve n requests in sequence, each with this latency; return the endpoints that served them."""
         used = []
         for _ in range(n):
             (send,) = sends(self.request(cls))
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -6,8 +6,8 @@
 are, and retry a rejected request once. Times are in ms; work is in ms of one core of speed 1.
 
 The model asserts at every action of a Balancer that it is permitted: no second execution of a non-idempotent
-request, no attempt at an endpoint that is not listed as ready, one final response in time. Work completed within the latency
-objective is counted in the second in which the client first sent the request.
+request, no attempt at an endpoint that is not listed as ready, one final response in time. Work completed
+within the latency objective is counted in the second in which the client first sent the request.
 """
 
 from __future__ import annotations
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -250,7 +250,7 @@
 
 
 def request(cls: str = "look", deadline_ms: int = 5000, body: bytes = b"", **headers: str) -> bytes:
-    """Return the bytes of a request with a deadline of `deadline_ms` ms; a header that is None is left out."""
+    """Return the bytes of a request with this deadline; a header that is None is left out."""
     lines = {"Host": "api", "X-Class": cls, "X-Tenant": "acme", "X-Deadline-Ms": str(deadline_ms)}
     lines["X-Request-Id"] = os.urandom(8).hex()
     if cls == "put":
