--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Helpers of the balancer tests: a driver that feeds events to a Balancer, without any model of a fleet."""
+"""Helpers of the balancer tests: a driver that feeds events to a Balancer; endpoints are not modelled."""
 
 from __future__ import annotations
 
