--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -68,15 +68,17 @@
         """Feed an update of the endpoint list."""
         return self.handle(EndpointListUpdate(mode, [*entries]))
 
-    def list_endpoints(self, n: int, **fields: object) -> None:
+    def set_endpoints(self, n: int, **fields: object) -> None:
         """Feed a complete endpoint list with n ready endpoints."""
         self.update_list(*(EndpointEntry(endpoint_id(i), **fields) for i in range(n)))
 
-    def request(self, cls: int = 0, left: float | None = None, **fields: object) -> list[Action]:
+    def request(
+        self, class_index: int = 0, time_left_ms: float | None = None, **fields: object
+    ) -> list[Action]:
         """Feed a request with the next id, from 1 on; its deadline is by default that of its class."""
         self.next_id += 1
-        left = self.cfg.classes[cls].deadline_ms if left is None else left
-        return self.handle(Request(self.next_id, left, cls, **fields))
+        time_left_ms = self.cfg.classes[class_index].deadline_ms if time_left_ms is None else time_left_ms
+        return self.handle(Request(self.next_id, time_left_ms, class_index, **fields))
 
     def outcome(
         self,
@@ -94,12 +96,12 @@
         """Fire a timer."""
         return self.handle(TimerFired(token))
 
-    def serve(self, n: int, took: float = 5.0, cls: int = 0) -> list[bytes]:
+    def serve(self, n: int, latency_ms: float = 5.0, class_index: int = 0) -> list[bytes]:
         """Serve n requests in sequence, each with this latency; return the endpoints that served them."""
         used = []
         for _ in range(n):
-            (send,) = sends(self.request(cls))
-            self.now += took
+            (send,) = sends(self.request(class_index))
+            self.now += latency_ms
             self.outcome(send.id, 0, send.endpoint)
             used.append(send.endpoint)
         return used
@@ -109,11 +111,11 @@
     return [a for a in actions if isinstance(a, Send)]
 
 
-def finals(actions: list[Action]) -> list[Action]:
+def final_actions(actions: list[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, Reject | Fail)]
 
 
-def fleet(number: int, instance_count: int, servers: int, **settings: object) -> Driver:
+def driver_with_endpoints(number: int, instance_count: int, servers: int, **settings: object) -> Driver:
     d = Driver(instance_number=number, instance_count=instance_count, **settings)
     d.update_list(
         *(EndpointEntry(bytes((10, i * 7 % 256, 0, i, 31, 144)), zone=i % 2) for i in range(servers))
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from conftest import UNSAFE, Driver, endpoint_id, finals, sends
+from conftest import UNSAFE, Driver, endpoint_id, final_actions, sends
 
 from alderspool.balancer.actions import (
     Action,
@@ -23,7 +23,7 @@
 
 def test_timeout_at_the_deadline_gets_one_final_response() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     (send,) = sends(driver.request())
     driver.now += 400.0
     assert driver.outcome(send.id, 0, send.endpoint, AttemptStatus.TIMEOUT) == [Fail(send.id)]
@@ -50,16 +50,16 @@
         EndpointEntry(endpoint_id(0), weight=0.0),
         EndpointEntry(endpoint_id(1), weight=float("nan"), started_at_ms=driver.now + 1e6),
     )
-    assert finals(driver.request(left=0.0)) == [Reject(1, 0.0)]
-    assert finals(driver.request(left=-5.0)) == [Reject(2, 0.0)]
-    assert sends(driver.request(cls=0))
+    assert final_actions(driver.request(time_left_ms=0.0)) == [Reject(1, 0.0)]
+    assert final_actions(driver.request(time_left_ms=-5.0)) == [Reject(2, 0.0)]
+    assert sends(driver.request(class_index=0))
 
 
 def test_same_events_give_same_actions() -> None:
     def run() -> list[Action]:
         driver = Driver(seed=7, list_on_request=True)
         driver.update_list(mode=UpdateMode.FAILED)
-        driver.list_endpoints(5)
+        driver.set_endpoints(5)
         driver.serve(50)
         return driver.log
 
@@ -68,7 +68,7 @@
 
 def test_refreshes_less_often_where_few_requests_come() -> None:
     driver = Driver()
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.serve(1)
     at = driver.lb.refresh.last_at
     driver.now += 200.0
--- a/tests/test_balancer_admission_queue.py
+++ b/tests/test_balancer_admission_queue.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from conftest import IDEMPOTENT, QUEUE_TIMER, UNSAFE, Driver, finals, sends
+from conftest import IDEMPOTENT, QUEUE_TIMER, UNSAFE, Driver, final_actions, sends
 
 from alderspool.balancer.actions import (
     Reject,
@@ -13,12 +13,12 @@
 def test_queues_without_ready_endpoint_then_rejects_before_the_deadline() -> None:
     driver = Driver()
     driver.update_list()
-    assert not finals(driver.request())
+    assert not final_actions(driver.request())
     end = driver.now + IDEMPOTENT.deadline_ms
-    while not finals(driver.log) and driver.now < end:
+    while not final_actions(driver.log) and driver.now < end:
         driver.now += 8.0
         driver.timer(QUEUE_TIMER)
-    assert finals(driver.log) == [Reject(1, 0.0)]
+    assert final_actions(driver.log) == [Reject(1, 0.0)]
     assert driver.now < end - 2.0
 
 
@@ -26,12 +26,12 @@
     driver = Driver([RequestClass("a", 200.0, 400.0, late_priority_weight=0.5)])
     driver.update_list()
     for left in (400.0, 90.0, 300.0, 60.0, 200.0):
-        driver.request(left=left)
+        driver.request(time_left_ms=left)
     response_after_ms: dict[int, float] = {}
     start = driver.now
     while len(response_after_ms) < 5 and driver.now < start + 500.0:
         driver.now += 8.0
-        for action in finals(driver.timer(QUEUE_TIMER)):
+        for action in final_actions(driver.timer(QUEUE_TIMER)):
             response_after_ms[action.id] = driver.now - start
     assert all(response_after_ms[i + 1] < left for i, left in enumerate((400.0, 90.0, 300.0, 60.0, 200.0)))
 
@@ -43,7 +43,7 @@
     )
     tenants = [Tenant("a", quota_rps=1000.0), Tenant("b", quota_rps=0.001)]
     driver = Driver([cheap, dear], tenants=tenants, instance_count=2)
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.policies.limit.total = 1.0
     driver.lb.refresh.last_at = 1e12  # the limit stays
     (out,) = sends(driver.request(0))
@@ -58,20 +58,20 @@
 
 def test_rejects_queued_request_that_can_no_longer_be_in_time() -> None:
     driver = Driver([UNSAFE], instance_count=2)
-    driver.list_endpoints(1)
-    driver.serve(200, took=100.0)  # typical: half of the latency objective
+    driver.set_endpoints(1)
+    driver.serve(200, latency_ms=100.0)  # typical: half of the latency objective
     driver.policies.limit.total = 1.0
     driver.lb.refresh.last_at = 1e12
     sends(driver.request())
     driver.request()
     queued = driver.next_id
     driver.now += 60.0  # of the objective of 200: what remains is less than the queue margin
-    assert [a.id for a in finals(driver.timer(QUEUE_TIMER))] == [queued]
+    assert [a.id for a in final_actions(driver.timer(QUEUE_TIMER))] == [queued]
 
 
 def test_fresh_requests_go_before_late_ones() -> None:
     driver = Driver([RequestClass("a", 100.0, 1000.0, late_priority_weight=0.5)])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.policies.limit.per_endpoint = 1.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.now += 1000.0
@@ -86,18 +86,18 @@
 
 def test_rejects_client_retry_whose_objective_has_passed() -> None:
     driver = Driver([RequestClass("a", 100.0, 400.0)])
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     for _ in range(400):
-        (send,) = sends(driver.request(left=250.0))
+        (send,) = sends(driver.request(time_left_ms=250.0))
         driver.now += 5.0
         driver.outcome(send.id, 0, send.endpoint)
-    assert finals(driver.request(left=150.0)) and not sends(driver.log[-1:])
-    assert sends(driver.request(left=248.0))
+    assert final_actions(driver.request(time_left_ms=150.0)) and not sends(driver.log[-1:])
+    assert sends(driver.request(time_left_ms=248.0))
 
 
 def test_tenants_over_quota_wait_behind_the_others() -> None:
     driver = Driver(tenants=[Tenant("a", 0.5, 1.0), Tenant("b", 0.5, 1000.0)])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.policies.limit.per_endpoint = 1.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.now += 1000.0
--- a/tests/test_balancer_class_isolation.py
+++ b/tests/test_balancer_class_isolation.py
@@ -9,7 +9,7 @@
 
 def test_first_mix_assumes_equal_work_of_the_classes() -> None:
     driver = Driver([RequestClass("short", 100.0, 200.0), RequestClass("long", 1500.0, 3000.0)])
-    driver.list_endpoints(10)
+    driver.set_endpoints(10)
     driver.now += 200.0
     for _ in range(5):
         driver.request()
@@ -21,7 +21,7 @@
 def test_long_work_never_leaves_its_part_of_the_fleet() -> None:
     short = RequestClass("short", 100.0, 200.0, idempotency=Idempotency.NON_IDEMPOTENT)
     driver = Driver([short, RequestClass("long", 1500.0, 3000.0, idempotency=Idempotency.NON_IDEMPOTENT)])
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     driver.lb.refresh.last_at = driver.now + 1e9  # parts as they stand
     part = {s.id for s in driver.selected if s.serves_long_work}
     assert 0 < len(part) < 4
--- a/tests/test_balancer_concurrency_limit.py
+++ b/tests/test_balancer_concurrency_limit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import QUEUE_TIMER, UNSAFE, Driver, endpoint_id, fleet, sends
+from conftest import QUEUE_TIMER, UNSAFE, Driver, driver_with_endpoints, endpoint_id, sends
 
 from alderspool.balancer.actions import (
     Log,
@@ -36,7 +36,7 @@
 @pytest.fixture
 def jam() -> Jam:
     driver = Driver([UNSAFE], instance_count=2)
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     return Jam(driver)
 
 
@@ -106,7 +106,7 @@
 
 def test_attempts_at_a_stalled_endpoint_take_no_capacity_from_the_others() -> None:
     driver = Driver([UNSAFE], instance_count=2)
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     driver.serve(60)
     driver.policies.limit.per_endpoint = 2.0
     stuck = 0
@@ -124,14 +124,14 @@
 
 def test_limit_does_not_rise_while_it_limits_nothing() -> None:
     driver = Driver([UNSAFE], instance_count=2)
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     before = driver.policies.limit.per_endpoint
     driver.serve(1000)
     assert driver.policies.limit.per_endpoint == before
 
 
 def test_first_limit_falls_with_the_instances_that_share_an_endpoint() -> None:
-    assert [fleet(0, n, 10).policies.limit.per_endpoint for n in (1, 3, 100)] == [
+    assert [driver_with_endpoints(0, n, 10).policies.limit.per_endpoint for n in (1, 3, 100)] == [
         3.0,
         pytest.approx(5 / 3),
         1.0,
--- a/tests/test_balancer_connection_health.py
+++ b/tests/test_balancer_connection_health.py
@@ -16,7 +16,7 @@
 
 def test_prefers_open_connections_where_connects_often_fail() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     (send,) = sends(driver.request())
     driver.outcome(send.id, 0, send.endpoint)  # one connection is open now
     assert len(set(driver.serve(6))) == 3
@@ -30,7 +30,7 @@
 
 def test_reopens_connections_idle_for_as_long_as_a_lost_one() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.serve(3)
     assert not [a for a in driver.log if isinstance(a, CloseIdle)]
     driver.now += 1000.0
--- a/tests/test_balancer_endpoint_list.py
+++ b/tests/test_balancer_endpoint_list.py
@@ -18,14 +18,14 @@
 @pytest.mark.parametrize("how", [Availability.DRAINING, Availability.GONE])
 def test_sends_nothing_to_draining_or_removed_endpoint(how: Availability) -> None:
     driver = Driver()
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.update_list(EndpointEntry(endpoint_id(0), availability=how), mode=UpdateMode.DELTA)
     assert set(driver.serve(10)) == {endpoint_id(1)}
 
 
 def test_endpoint_missing_from_a_complete_list_is_removed() -> None:
     driver = Driver()
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     driver.update_list(EndpointEntry(endpoint_id(2)))
     assert set(driver.serve(5)) == {endpoint_id(2)}
     driver.now += 60_000.0
--- a/tests/test_balancer_hedging.py
+++ b/tests/test_balancer_hedging.py
@@ -13,7 +13,7 @@
 def test_hedges_once_and_only_where_allowed() -> None:
     for allowed in (False, True):
         driver = Driver(hedging_allowed=allowed, cancel_allowed=True)
-        driver.list_endpoints(3)
+        driver.set_endpoints(3)
         (send,) = sends(driver.request())
         driver.now += 90.0
         actions = driver.timer(timer_token(TimerKind.HEDGE, send.id))
--- a/tests/test_balancer_key_order.py
+++ b/tests/test_balancer_key_order.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import Driver, finals, sends
+from conftest import Driver, final_actions, sends
 
 from alderspool.balancer.actions import (
     Action,
@@ -29,7 +29,7 @@
         RequestClass("c", 400.0, 1500.0),
     ]
     driver = Driver(classes, key_quiesce_ms=50.0, **settings)
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     return driver
 
 
@@ -55,7 +55,7 @@
     (first,) = sends(driver.request(0, key=7))
     driver.request(0, key=7)
     actions = driver.outcome(first.id, 0, first.endpoint, status)
-    assert finals(actions) == [Fail(1)] and not sends(actions)
+    assert final_actions(actions) == [Fail(1)] and not sends(actions)
     driver.now += 49.0
     assert not sends(turn(driver, 2))
     driver.now += 1.1
@@ -90,10 +90,10 @@
     driver = ordered()
     (first,) = sends(driver.request(0, key=7))
     driver.policies.queue.alike_share = [0.0] * 3  # clients differ: less time is no sign of a client retry
-    driver.request(0, key=7, left=300.0)
+    driver.request(0, key=7, time_left_ms=300.0)
     driver.request(0, key=7)
     driver.now += 291.0
-    assert finals(turn(driver, 2)) == [Reject(2, 0.0)]
+    assert final_actions(turn(driver, 2)) == [Reject(2, 0.0)]
     assert [s.id for s in sends(driver.outcome(first.id, 0, first.endpoint))] == [3]
 
 
@@ -101,5 +101,5 @@
     driver = ordered(retry_after=True)
     driver.policies.latency.typical_ms[:] = [150.0] * 3
     driver.request(0, key=7)
-    assert not finals(driver.request(0, key=7))
-    assert finals(driver.request(0, key=7)) == [Reject(3, 400.0)]
+    assert not final_actions(driver.request(0, key=7))
+    assert final_actions(driver.request(0, key=7)) == [Reject(3, 400.0)]
--- a/tests/test_balancer_load_reports.py
+++ b/tests/test_balancer_load_reports.py
@@ -14,7 +14,7 @@
 
 def test_reported_load_counts_until_the_peer_falls_silent() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=3)
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.policies.limit.per_endpoint = 2.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.now += 1000.0
@@ -29,7 +29,7 @@
 
 def test_instance_keeps_its_own_share_of_the_limit() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=2)
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.policies.limit.per_endpoint = 4.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.now += 1000.0
@@ -40,7 +40,7 @@
 
 def test_reports_only_endpoints_that_the_peer_shares() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=7)
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.handle(PeerMessage(6, endpoint_id(0) + bytes((0,))))
     reports = [(a.peer, a.data[:6]) for _ in range(2) for a in driver.request() if isinstance(a, SendToPeer)]
     assert reports == [(6, endpoint_id(0))]
@@ -50,7 +50,7 @@
 
 def test_reports_nothing_where_many_instances_share_an_endpoint() -> None:
     driver = Driver(peer_messages_allowed=True, instance_count=50)
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.handle(PeerMessage(6, endpoint_id(0) + bytes((0,))))
     driver.serve(3)
     driver.timer(LOAD_REPORT_TIMER)
--- a/tests/test_balancer_outlier_detection.py
+++ b/tests/test_balancer_outlier_detection.py
@@ -16,7 +16,7 @@
 
 def test_attempts_lost_in_one_pause_are_one_failure() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.policies.limit.per_endpoint = 10.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.serve(3)
@@ -29,7 +29,7 @@
 
 def test_timeout_of_an_attempt_sent_too_late_is_no_failure_of_the_endpoint() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     (send,) = sends(driver.request())
     driver.now += 60.0
     driver.outcome(send.id, 0, send.endpoint, AttemptStatus.TIMEOUT)
@@ -47,7 +47,7 @@
 
 def test_failing_endpoint_is_ejected_and_returns_after_a_served_trial() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     _fail(driver, {endpoint_id(0)}, 150)
     assert any(isinstance(a, Log) and a.text.startswith("eject 0a0000") for a in driver.log)
     driver.now += 200.0
@@ -59,7 +59,7 @@
 
 def test_panic_keeps_back_off_short_when_most_endpoints_fail() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     _fail(driver, {endpoint_id(i) for i in range(4)}, 60)
     driver.now += 60.0  # a usual latency, not the seconds that a single bad server is left alone
     assert sends(driver.request())
@@ -68,7 +68,7 @@
 def test_timeout_opens_circuit_only_if_others_were_served_meanwhile() -> None:
     for others in (0, 1):
         driver = Driver([IDEMPOTENT, IDEMPOTENT], tenants=[Tenant("a")])
-        driver.list_endpoints(1)
+        driver.set_endpoints(1)
         (s,) = driver.endpoints.values()
         sends(driver.request(0))
         for _ in range(others):
@@ -81,7 +81,7 @@
 
 def _kinds(**settings: object) -> Driver:
     driver = Driver([RequestClass(name, 200.0, 400.0) for name in "ab"], **settings)
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     return driver
 
 
@@ -94,9 +94,9 @@
         driver.outcome(send.id, 1, send.endpoint)
     bad = sends(driver.log)[0].endpoint
     driver.now += 100.0
-    assert bad not in driver.serve(10, cls=0) and bad in driver.serve(10, cls=1)
+    assert bad not in driver.serve(10, class_index=0) and bad in driver.serve(10, class_index=1)
     driver.now += 3000.0
-    assert bad in driver.serve(10, cls=0)  # tried again
+    assert bad in driver.serve(10, class_index=0)  # tried again
 
 
 def test_circuit_of_a_tenant_opens_only_once_two_of_its_classes_failed() -> None:
@@ -121,7 +121,7 @@
 
 def test_attempt_is_written_off_after_four_later_responses() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     (s,) = driver.endpoints.values()
     s.limit = s.own_limit = 2
     driver.lb.refresh.last_at = 1e12  # the limit stays
--- a/tests/test_balancer_retry_budget.py
+++ b/tests/test_balancer_retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from conftest import UNSAFE, Driver, finals, sends
+from conftest import UNSAFE, Driver, final_actions, sends
 
 from alderspool.balancer.actions import (
     Reject,
@@ -21,7 +21,7 @@
         retry_budget_ratio=0.25,
         max_attempts=9,
     )
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     (s,) = sends(driver.request())
     for attempt in range(2):  # 1 + 0.25 x 1: one further attempt, whatever ended the one before
         actions = driver.outcome(
@@ -29,18 +29,18 @@
         )
         assert len(sends(actions)) == 1 - attempt
         s = sends(actions)[0] if sends(actions) else s
-    assert finals(actions) == [Reject(1, 0.0)]  # at once
+    assert final_actions(actions) == [Reject(1, 0.0)]  # at once
     for _ in range(2):
         (s,) = sends(driver.request())
         driver.now += 1.0
         driver.outcome(s.id, 0, s.endpoint)
     (s,) = sends(driver.request())  # the fourth: 1 + 0.25 x 4 = 2
     (s,) = sends(driver.outcome(s.id, 0, s.endpoint, AttemptStatus.CONNECT_FAILED))
-    assert finals(driver.outcome(s.id, 1, s.endpoint, AttemptStatus.CONNECT_FAILED))
+    assert final_actions(driver.outcome(s.id, 1, s.endpoint, AttemptStatus.CONNECT_FAILED))
     driver.now += 5010.0  # the window has passed, for requests too
     (s,) = sends(driver.request())
     (s,) = sends(driver.outcome(s.id, 0, s.endpoint, AttemptStatus.CONNECT_FAILED))
-    assert finals(driver.outcome(s.id, 1, s.endpoint, AttemptStatus.CONNECT_FAILED))
+    assert final_actions(driver.outcome(s.id, 1, s.endpoint, AttemptStatus.CONNECT_FAILED))
 
 
 def test_hedges_come_out_of_the_stated_budget() -> None:
@@ -51,7 +51,7 @@
         hedging_allowed=True,
         cancel_allowed=True,
     )
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     driver.request()
     driver.request()
     driver.now += 90.0
@@ -61,8 +61,10 @@
 
 def test_retries_after_failed_connects_come_out_of_the_budget() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.policies.retry_budget.tokens = 0.0  # each further connect would cost a server another handshake
     (send,) = sends(driver.request())
-    assert finals(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED)) == [Reject(1, 0.0)]
+    assert final_actions(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED)) == [
+        Reject(1, 0.0)
+    ]
     assert driver.policies.retry_budget.tokens == 0.2
--- a/tests/test_balancer_retry_rules.py
+++ b/tests/test_balancer_retry_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import UNSAFE, Driver, endpoint_id, finals, sends
+from conftest import UNSAFE, Driver, endpoint_id, final_actions, sends
 
 from alderspool.balancer.actions import (
     Action,
@@ -37,13 +37,13 @@
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_attempt_that_never_ran_is_retried_anywhere(idempotency: Idempotency, status: AttemptStatus) -> None:
     _, actions = _effect_case(idempotency, DeduplicationScope.CELL, status)
-    assert len(sends(actions)) == 1 and not finals(actions)
+    assert len(sends(actions)) == 1 and not final_actions(actions)
 
 
 @pytest.mark.parametrize("status", MAYBE)
 def test_non_idempotent_that_may_have_run_fails_without_rejection(status: AttemptStatus) -> None:
     _, actions = _effect_case(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, status)
-    assert not sends(actions) and finals(actions) == [Fail(1)]
+    assert not sends(actions) and final_actions(actions) == [Fail(1)]
 
 
 @pytest.mark.parametrize("status", MAYBE)
@@ -59,7 +59,7 @@
     driver.now += 1000.0  # past the memory of the first send: no more attempts
     last = driver.outcome(1, 1, again[0].endpoint, AttemptStatus.TIMEOUT)
     assert not sends(last)
-    assert [type(a) for a in finals(last)] == [
+    assert [type(a) for a in final_actions(last)] == [
         Reject if deduplication_scope == DeduplicationScope.ALL else Fail
     ]
 
@@ -90,7 +90,7 @@
     driver.update_list(*(EndpointEntry(endpoint_id(i), cell=i) for i in range(4)))
     (s,) = sends(driver.request(0))
     actions = driver.outcome(s.id, 0, s.endpoint, AttemptStatus.REJECTED)
-    assert (finals(actions) == [Fail(1)]) == may_have_run and bool(sends(actions)) != may_have_run
+    assert (final_actions(actions) == [Fail(1)]) == may_have_run and bool(sends(actions)) != may_have_run
     (s,) = sends(driver.request(1))
     actions = driver.outcome(s.id, 0, s.endpoint, AttemptStatus.REJECTED)
     assert bool(sends(actions)) != may_have_run  # no other server is in its cell
--- a/tests/test_balancer_rotation.py
+++ b/tests/test_balancer_rotation.py
@@ -13,7 +13,7 @@
 
 def test_equal_endpoints_take_even_interleaved_turns() -> None:
     driver = Driver()
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     used = driver.serve(40)
     assert Counter(used) == {endpoint_id(i): 10 for i in range(4)}
     assert all(len(set(used[i : i + 4])) == 4 for i in range(0, 40, 4))
@@ -22,7 +22,7 @@
 def test_blends_class_figures_into_the_published_example_weights() -> None:
     """Shares of 1/3 and 2/3 over P = 38/11/51 and 13/40/47 give W = 21/30/49, spread without runs."""
     driver = Driver([IDEMPOTENT, IDEMPOTENT])
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     driver.serve(3)
     driver.lb.refresh.last_at = driver.now + 1e9  # weights as given, not as learned
     share, cpu, disk = (1 / 3, 2 / 3), (38, 11, 51), (13, 40, 47)
@@ -40,25 +40,25 @@
     first = Counter()
     for seed in range(60):
         driver = Driver(seed=seed, instance_count=60)
-        driver.list_endpoints(3)
+        driver.set_endpoints(3)
         first[driver.serve(1)[0]] += 1
     assert all(10 <= first[endpoint_id(i)] <= 30 for i in range(3))
 
 
 def test_faster_endpoints_earn_more_turns() -> None:
     driver = Driver()
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     for _ in range(200):
         (send,) = sends(driver.request())
         driver.now += 10.0 if send.endpoint == endpoint_id(0) else 40.0
         driver.outcome(send.id, 0, send.endpoint)
-    counts = Counter(driver.serve(50, took=10.0))
+    counts = Counter(driver.serve(50, latency_ms=10.0))
     assert counts[endpoint_id(0)] > 1.6 * counts[endpoint_id(1)] > 0
 
 
 def test_endpoint_over_its_fair_share_is_passed_over() -> None:
     driver = Driver()
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     used = [sends(driver.request())[0] for _ in range(9)]
     assert Counter(s.endpoint for s in used) == {endpoint_id(i): 3 for i in range(3)}
     for send in used:  # servers 1 and 2 answer, server 0 keeps what it has
@@ -70,7 +70,7 @@
 
 def test_fast_failing_endpoint_attracts_no_requests() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     counts: Counter[bytes] = Counter()
     for _ in range(200):
         (send,) = sends(driver.request())
@@ -83,19 +83,19 @@
 
 def test_figure_of_a_rare_class_leans_on_the_overall_figure() -> None:
     driver = Driver([UNSAFE, UNSAFE])
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     for _ in range(100):
-        driver.serve(4, took=20.0)
-    (send,) = sends(driver.request(cls=1))
+        driver.serve(4, latency_ms=20.0)
+    (send,) = sends(driver.request(class_index=1))
     driver.now += 60.0  # one slow answer of a rare class is no verdict
     driver.outcome(send.id, 0, send.endpoint)
-    counts = Counter(driver.serve(40, took=20.0))
+    counts = Counter(driver.serve(40, latency_ms=20.0))
     assert min(counts[endpoint_id(0)], counts[endpoint_id(1)]) >= 16
 
 
 def test_stalled_endpoint_is_passed_over_long_before_a_timeout() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     driver.serve(60)
     while (stuck := sends(driver.request())[0]).endpoint != endpoint_id(0):
         driver.outcome(stuck.id, 0, stuck.endpoint)
--- a/tests/test_balancer_slow_start.py
+++ b/tests/test_balancer_slow_start.py
@@ -22,12 +22,12 @@
         cold_overload_window_ms=1000.0,
         cold_overload_factor=2.5,
     )
-    driver.list_endpoints(cold + warm)
+    driver.set_endpoints(cold + warm)
     driver.policies.limit.per_endpoint = 50.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.now += 60000.0
     for _ in range(int(rate * 10)):
-        driver.serve(1, took=1000.0 / rate)
+        driver.serve(1, latency_ms=1000.0 / rate)
     driver.update_list(
         *(
             EndpointEntry(endpoint_id(i), started_at_ms=driver.now if i < cold else 0.0)
@@ -69,7 +69,7 @@
 
 def test_endpoint_back_from_refused_connections_counts_as_cold() -> None:
     driver = Driver(initial_capacity_share=0.1, slow_start_ms=20000.0)
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     s = driver.endpoints[endpoint_id(0)]
     for down in (True, False):
         for _ in range(1000):
@@ -88,7 +88,7 @@
 
 def test_cold_budget_follows_what_warm_endpoints_serve() -> None:
     driver = Driver([UNSAFE], initial_capacity_share=0.2, slow_start_ms=20_000.0)
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.serve(400)  # one warm server carries all of it
     cold = [EndpointEntry(endpoint_id(i), started_at_ms=driver.now) for i in range(1, 10)]
     driver.update_list(*cold, mode=UpdateMode.DELTA)
@@ -100,7 +100,7 @@
 
 def test_live_weight_of_an_empty_cold_endpoint_does_not_look_the_biggest() -> None:
     driver = Driver(weights_live=True)
-    driver.list_endpoints(3, weight=4.0)
+    driver.set_endpoints(3, weight=4.0)
     loaded = [EndpointEntry(endpoint_id(i), weight=1.0) for i in (0, 1)]
     driver.update_list(
         *loaded, EndpointEntry(endpoint_id(2), weight=4.0, started_at_ms=driver.now), mode=UpdateMode.DELTA
@@ -114,7 +114,7 @@
         driver = Driver(
             seed=seed, instance_count=200, cold_overload_factor=1.5, cold_overload_window_ms=1500.0
         )
-        driver.list_endpoints(3)
+        driver.set_endpoints(3)
         driver.update_list(EndpointEntry(endpoint_id(0), started_at_ms=driver.now), mode=UpdateMode.DELTA)
         s = driver.endpoints[endpoint_id(0)]
         levels.add(s.cold_tokens)
@@ -131,7 +131,7 @@
 
 def test_rejected_work_does_not_raise_the_cold_budget() -> None:
     driver = Driver([UNSAFE], cold_overload_factor=1.5, initial_capacity_share=0.2, slow_start_ms=20_000.0)
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.serve(400)
     driver.update_list(EndpointEntry(endpoint_id(1), started_at_ms=driver.now), mode=UpdateMode.DELTA)
     carried = driver.policies.slow_start.work_rate.per_size
--- a/tests/test_balancer_subset.py
+++ b/tests/test_balancer_subset.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-from conftest import fleet
+from conftest import driver_with_endpoints
 
 from alderspool.balancer.events import (
     Availability,
@@ -14,18 +14,18 @@
 
 
 def test_subsets_of_many_instances_cover_all_endpoints_evenly() -> None:
-    used = Counter(s.id for k in range(200) for s in fleet(k, 200, 100).selected)
+    used = Counter(s.id for k in range(200) for s in driver_with_endpoints(k, 200, 100).selected)
     assert len(used) == 100
     assert set(used.values()) <= set(range(10, 15))  # 200 x 6 / 100 = 12 instances a server
 
 
 def test_few_instances_use_every_endpoint_between_them() -> None:
-    assert len(fleet(0, 1, 100).selected) == 100
-    assert len({s.id for k in range(20) for s in fleet(k, 20, 100).selected}) == 100
+    assert len(driver_with_endpoints(0, 1, 100).selected) == 100
+    assert len({s.id for k in range(20) for s in driver_with_endpoints(k, 20, 100).selected}) == 100
 
 
 def test_outliers_do_not_fill_the_subset() -> None:
-    driver = fleet(0, 200, 100)
+    driver = driver_with_endpoints(0, 200, 100)
     before = {s.id for s in driver.selected}
     for s in driver.selected[:5]:
         s.consecutive_failures = 5
@@ -36,7 +36,7 @@
 
 
 def test_returning_endpoint_finds_its_place_in_the_subset() -> None:
-    driver = fleet(3, 200, 100)
+    driver = driver_with_endpoints(3, 200, 100)
     before = [s.id for s in driver.selected]
     lost = [
         EndpointEntry(i, zone=driver.endpoints[i].zone, availability=Availability.GONE) for i in before[:2]
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -166,7 +166,7 @@
     sent_to_cold = 0
 
     for driver in drivers:
-        served += len(driver.serve(200, took=50.0))
+        served += len(driver.serve(200, latency_ms=50.0))
         driver.update_list(EndpointEntry(cold_id, started_at_ms=driver.now), mode=UpdateMode.DELTA)
         end_ms = driver.now + 1000.0
         while driver.now < end_ms:  # ten times the rate of before
