--- a/tests/fleet_endpoint.py
+++ b/tests/fleet_endpoint.py
@@ -43,12 +43,12 @@
     state: int = Availability.READY
     is_alive: bool = True
     silent: bool = False  # injected fault: accepts attempts and never responds
-    slower: float = 1.0  # injected fault: divides the speed
+    slowdown_factor: float = 1.0  # injected fault: divides the speed
     running: int = 0
     incarnation: int = 0  # number of deaths: what ran before the last one completes nothing
     queue: deque[SimulatedAttempt] = field(default_factory=deque)
-    choked_at: float | None = None
-    crowded_since: float | None = None
+    degraded_since: float | None = None
+    congested_since: float | None = None
     idle_since: float | None = None
     busy_share: float = 0.0  # moving average of the share of its cores at work
 
@@ -59,8 +59,8 @@
             age_ms = now_ms - self.started_at_ms
             warm_up_factor = INITIAL_CAPACITY_SHARE + (1.0 - INITIAL_CAPACITY_SHARE) * age_ms / SLOW_START_MS
             warm_up_factor = min(warm_up_factor, 1.0)
-        choke_slowdown = CHOKE_SLOWDOWN if self.choked_at is not None else 1.0
-        return self.speed * warm_up_factor / self.slower / choke_slowdown
+        choke_slowdown = CHOKE_SLOWDOWN if self.degraded_since is not None else 1.0
+        return self.speed * warm_up_factor / self.slowdown_factor / choke_slowdown
 
     def entry(self) -> EndpointEntry:
         """Return its line of the endpoint list."""
@@ -75,15 +75,15 @@
         self.busy_share += (self.running / CORES - self.busy_share) * BUSY_SHARE_WEIGHT
         is_crowded = self.running + len(self.queue) > CHOKE_ATTEMPTS
         is_idle = self.busy_share < CHOKE_RECOVERY_BUSY_SHARE
-        self.crowded_since = (self.crowded_since or now_ms) if is_crowded else None
+        self.congested_since = (self.congested_since or now_ms) if is_crowded else None
         self.idle_since = (self.idle_since or now_ms) if is_idle else None
-        if self.choked_at is None:
-            if self.crowded_since and now_ms - self.crowded_since > CHOKE_AFTER_MS:
-                self.choked_at = now_ms
+        if self.degraded_since is None:
+            if self.congested_since and now_ms - self.congested_since > CHOKE_AFTER_MS:
+                self.degraded_since = now_ms
             return
         has_recovered = self.idle_since is not None and now_ms - self.idle_since > CHOKE_RECOVERY_MS
-        if has_recovered or now_ms - self.choked_at > CHOKE_MAX_MS:
-            self.choked_at = None
+        if has_recovered or now_ms - self.degraded_since > CHOKE_MAX_MS:
+            self.degraded_since = None
 
     def lose_process(self) -> None:
         """End its process with all that it runs; the fleet empties its queue."""
@@ -96,4 +96,4 @@
         self.is_alive = True
         self.started_at_ms = now_ms
         self.state = Availability.READY
-        self.choked_at = None
+        self.degraded_since = None
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -154,14 +154,14 @@
         quota_rps = 1000.0 * TOTAL_QUOTA_SHARE * self.capacity / mean_work
         self._settings = _balancer_settings(quota_rps, proxies, settings)
 
-        self.reached: list[SimulatedAttempt] = []  # all that arrived at an endpoint, in order
-        self.left: set[int] = set()  # seconds in which a proxy sent an attempt
-        self.able: set[int] = set()  # seconds throughout which a ready endpoint responded
+        self.arrived_attempts: list[SimulatedAttempt] = []  # all that arrived at an endpoint, in order
+        self.seconds_with_attempts: set[int] = set()  # seconds in which a proxy sent an attempt
+        self.responsive_seconds: set[int] = set()  # seconds throughout which a ready endpoint responded
         self._unable: set[int] = set()
         self.offered: defaultdict[int, float] = defaultdict(float)  # work by second
         self.in_time: defaultdict[int, float] = defaultdict(float)  # work by second of the first sending
-        self.by_tenant = [[0.0, 0.0] for _ in REQUEST_SHARE_BY_TENANT]  # work offered, work in time
-        self.answers: Counter[int] = Counter()  # by FinalResponse
+        self.work_by_tenant = [[0.0, 0.0] for _ in REQUEST_SHARE_BY_TENANT]  # work offered, work in time
+        self.response_counts: Counter[int] = Counter()  # by FinalResponse
         self._executions: Counter[int] = Counter()  # by request
         self.proxies = [self._start_proxy(number) for number in range(proxies)]
         self.time.call_later(0.0, self._client_sends)
@@ -178,11 +178,11 @@
         """Advance the virtual time by so many seconds."""
         self.time.run(1000.0 * seconds)
 
-    def second(self) -> int:
+    def elapsed_s(self) -> int:
         """Return the number of whole seconds since the start."""
         return int((self.now - START_MS) / 1000.0)
 
-    def service(self, first: int, last: int) -> float:
+    def goodput(self, first: int, last: int) -> float:
         """Return the work in time of these seconds, over the smaller of what was offered and the capacity."""
         seconds = range(first, last)
         offered = sum(self.offered[second] for second in seconds)
@@ -191,11 +191,11 @@
 
     # ---- faults ----------------------------------------------------------------------------------
 
-    def restart(self, number: int) -> None:
+    def restart_proxy(self, number: int) -> None:
         """Kill a proxy and start a new one; its pending requests are lost, its attempts run on unheard."""
         self.proxies[number] = self._start_proxy(number)
 
-    def die(self, node: EndpointNode) -> None:
+    def kill_endpoint(self, node: EndpointNode) -> None:
         """End the process of an endpoint: its attempts are reset, and the list follows later."""
         node.lose_process()
         for proxy in self.proxies:
@@ -209,14 +209,14 @@
     def _list_as_gone(self, node: EndpointNode) -> None:
         if not node.is_alive:
             node.state = Availability.GONE
-            self.announce()
+            self.publish_endpoint_list()
 
-    def come_back(self, node: EndpointNode) -> None:
+    def restart_endpoint(self, node: EndpointNode) -> None:
         """Start a new process of an endpoint, in slow start, and publish the list immediately."""
         node.start_process(self.now)
-        self.announce()
+        self.publish_endpoint_list()
 
-    def announce(self) -> None:
+    def publish_endpoint_list(self) -> None:
         """Send the endpoint list as it is now to all proxies."""
         for proxy in self.proxies:
             self._send_endpoint_list(proxy)
@@ -238,11 +238,11 @@
             work=work,
             deadline_at_ms=self.now + request_class.deadline_ms,
             objective_at_ms=self.now + request_class.latency_objective_ms,
-            first_sent_second=self.second(),
+            first_sent_second=self.elapsed_s(),
         )
         self._send_request(request)
-        self.offered[self.second()] += work
-        self.by_tenant[tenant][0] += work
+        self.offered[self.elapsed_s()] += work
+        self.work_by_tenant[tenant][0] += work
 
     def _next_request_id(self) -> int:
         self.request_count += 1
@@ -303,10 +303,10 @@
     def _conclude_as_served(self, request: SimulatedRequest | None) -> bool:
         if request is None:
             return False  # a hedge, or too late: the request already has its final response
-        self.answers[FinalResponse.SERVED] += 1
+        self.response_counts[FinalResponse.SERVED] += 1
         if self.now <= request.objective_at_ms:
             self.in_time[request.first_sent_second] += request.work
-            self.by_tenant[request.tenant][1] += request.work
+            self.work_by_tenant[request.tenant][1] += request.work
         return True
 
     def _perform(self, proxy: Proxy, actions: list[Action]) -> None:
@@ -329,7 +329,7 @@
 
     def _conclude(self, proxy: Proxy, request_id: int, response: FinalResponse) -> SimulatedRequest:
         request = proxy.pending.pop(request_id)  # KeyError: a second final response
-        self.answers[response] += 1
+        self.response_counts[response] += 1
         assert self.now <= request.deadline_at_ms + RESPONSE_SLACK_MS
         return request
 
@@ -351,7 +351,7 @@
         _assert_may_be_sent(request, node)
         attempt = SimulatedAttempt(proxy, request, len(request.attempts), node, self.now)
         request.attempts.append(attempt)
-        self.left.add(self.second())
+        self.seconds_with_attempts.add(self.elapsed_s())
         self.time.call_later(NETWORK_DELAY_MS, partial(self._arrive, attempt))
         timeout_ms = max(request.deadline_at_ms - self.now, 0.0)
         self.time.call_later(timeout_ms, partial(self._end, attempt, AttemptStatus.TIMEOUT))
@@ -382,7 +382,7 @@
 
     def _arrive(self, attempt: SimulatedAttempt) -> None:
         node = attempt.node
-        self.reached.append(attempt)
+        self.arrived_attempts.append(attempt)
         if not node.is_alive:
             self._end_after_network_delay(attempt, AttemptStatus.CONNECT_FAILED)
         elif not node.silent:
@@ -417,10 +417,10 @@
     def _sample_endpoints(self) -> None:
         self.time.call_later(SAMPLE_INTERVAL_MS, self._sample_endpoints)
         if any(node.is_ready_and_responding() for node in self.nodes):
-            self.able.add(self.second())
+            self.responsive_seconds.add(self.elapsed_s())
         else:
-            self._unable.add(self.second())
-        self.able -= self._unable
+            self._unable.add(self.elapsed_s())
+        self.responsive_seconds -= self._unable
         for node in self.nodes:
             node.sample_load(self.now)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -142,16 +142,16 @@
     restarted = fleet.nodes[::2]
     others = fleet.nodes[1::2]
     for endpoint in restarted:
-        fleet.die(endpoint)
+        fleet.kill_endpoint(endpoint)
     fleet.run(0.1)
     for endpoint in restarted:
-        fleet.come_back(endpoint)
-    fleet.reached.clear()
+        fleet.restart_endpoint(endpoint)
+    fleet.arrived_attempts.clear()
 
     fleet.run(3)
 
-    cold_work = work_of(attempt for attempt in fleet.reached if attempt.node in restarted)
-    warm_work = work_of(attempt for attempt in fleet.reached if attempt.node in others)
+    cold_work = work_of(attempt for attempt in fleet.arrived_attempts if attempt.node in restarted)
+    warm_work = work_of(attempt for attempt in fleet.arrived_attempts if attempt.node in others)
     cold = cold_work / sum(endpoint.speed for endpoint in restarted)
     warm = warm_work / sum(endpoint.speed for endpoint in others)
     assert cold > 0.42 * warm  # they can do 0.4 to 0.82 of the others' work; was 0.29
@@ -186,8 +186,8 @@
 
     fleet.run(8)
 
-    hedges = sum(attempt.number > 0 for attempt in fleet.reached)
-    total = len(fleet.reached)
+    hedges = sum(attempt.number > 0 for attempt in fleet.arrived_attempts)
+    total = len(fleet.arrived_attempts)
     assert total > 1000
     assert hedges < 0.02 * total  # was 0.09
 
