--- a/tests/rig.py
+++ b/tests/rig.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from urllib.parse import parse_qs
 
-LIMIT_S = 30.0  # generous: a slow system must not change a verdict
+TEST_TIMEOUT_S = 30.0  # generous: a slow system must not change a verdict
 SETTINGS = {
     "bounds": {"cancel": True, "may_duplicate": False, "max_attempts": 5, "conn_idle_ms": 10000.0},
     "classes": [
@@ -45,7 +45,7 @@
 
     @functools.wraps(test)
     def run(*args, **kwargs):
-        asyncio.run(asyncio.wait_for(test(*args, **kwargs), LIMIT_S))
+        asyncio.run(asyncio.wait_for(test(*args, **kwargs), TEST_TIMEOUT_S))
 
     return run
 
@@ -123,14 +123,14 @@
         self.discovery = ScriptedServer("discovery", lambda scripted_server: self._list())
         self._updates: asyncio.Queue[bytes] = asyncio.Queue()
         self._updates_sent = 0
-        self.calls: list[
+        self.discovery_call_times_s: list[
             float
         ] = []  # times of the first call to discovery, and of the first after each update
 
     async def _list(self) -> bytes:
         """Return the next update; to a watch whose time is over, a response without changes."""
-        if len(self.calls) == self._updates_sent:
-            self.calls.append(time.monotonic())
+        if len(self.discovery_call_times_s) == self._updates_sent:
+            self.discovery_call_times_s.append(time.monotonic())
         query = parse_qs(self.discovery.received_requests[-1][0].split()[1].partition(b"?")[2].decode())
         try:
             async with asyncio.timeout(int(query["timeout_ms"][0]) / 1000.0 if query else None):
@@ -158,7 +158,7 @@
 
     async def wait_for_calls(self, count: int) -> None:
         """Wait until discovery was called so often, calls after an update being counted once."""
-        while len(self.calls) < count:
+        while len(self.discovery_call_times_s) < count:
             await asyncio.sleep(0.005)
 
     async def __aenter__(self) -> Rig:
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -270,7 +270,7 @@
             rig.queue_list(rig.endpoints[0].entry(), index=index)
             sent_s = time.monotonic()
             await rig.wait_for_calls(index - 3)
-            gaps.append(rig.calls[-1] - sent_s)
+            gaps.append(rig.discovery_call_times_s[-1] - sent_s)
         assert min(gaps) < 0.2  # the best: a busy system must not change the verdict
         assert b"since=7&" in rig.discovery.received_requests[-1][0]
         rig.queue_response(failure)
--- a/tests/test_race_rows.py
+++ b/tests/test_race_rows.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 import pytest
-from rig import LIMIT_S, SETTINGS, Rig, ScriptedServer, read_message, real, request
+from rig import SETTINGS, TEST_TIMEOUT_S, Rig, ScriptedServer, read_message, real, request
 from test_accept_queue import InProcessListener
 
 from alderspool.balancer.events import AttemptStatus
@@ -157,7 +157,7 @@
     exchange = AcceptingExchange()
     settings = Settings(
         classes=[RequestClass("look", latency_objective_ms=400.0, deadline_ms=1000.0)],
-        connect_timeout_ms=LIMIT_S * 1000.0,  # a busy machine must not change the verdict
+        connect_timeout_ms=TEST_TIMEOUT_S * 1000.0,  # a busy machine must not change the verdict
     )
     pool = UpstreamPool(exchange, settings, DescriptorBudget(limit))
     open_at_dial: list[int] = []
--- a/tests/test_random_histories.py
+++ b/tests/test_random_histories.py
@@ -12,7 +12,7 @@
 from random import Random
 
 import pytest
-from rig import LIMIT_S, SETTINGS, read_message, request
+from rig import SETTINGS, TEST_TIMEOUT_S, read_message, request
 
 from alderspool.balancer.events import AttemptStatus, Availability, EndpointEntry
 from alderspool.balancer.settings_reader import read_settings
@@ -239,7 +239,7 @@
 
 async def play_history(seed: int) -> History:
     history = History(seed)
-    await asyncio.wait_for(history.play(), LIMIT_S)
+    await asyncio.wait_for(history.play(), TEST_TIMEOUT_S)
     return history
 
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 import pytest
-from rig import LIMIT_S, OK, Rig, ScriptedServer, read_message, real, request
+from rig import OK, TEST_TIMEOUT_S, Rig, ScriptedServer, read_message, real, request
 
 # The rig allows the proxy 256 sockets; this many of them are for clients.
 CLIENT_CONNECTION_LIMIT = 124
@@ -119,7 +119,7 @@
         for unusable in ("{", json.dumps(rig.config | {"discovery": "nowhere"})):
             rig.reload(unusable)
             assert await rig.is_ready()  # the old configuration stays in force
-            assert len(rig.calls) == 1
+            assert len(rig.discovery_call_times_s) == 1
         started = time.monotonic()
         rig.reload(json.dumps(rig.config | {"discovery": f"127.0.0.1:{new_discovery.port}"}))
         while len(new_discovery.received_requests) < 2:
@@ -152,7 +152,9 @@
             if sent and not sent.endswith(b"b"):
                 writer.write(b"x")
             await asyncio.sleep(0.1)
-        assert 1.0 < time.monotonic() - started < LIMIT_S / 4  # 3 s is intended; a slow host needs more
+        assert (
+            1.0 < time.monotonic() - started < TEST_TIMEOUT_S / 4
+        )  # 3 s is intended; a slow host needs more
         assert not sent or b"HTTP/1.1 408" in received.result()
 
 
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from rig import LIMIT_S, OK, SETTINGS, real
+from rig import OK, SETTINGS, TEST_TIMEOUT_S, real
 
 from alderspool.balancer.events import AttemptStatus
 from alderspool.balancer.settings_reader import read_settings
@@ -52,7 +52,7 @@
         self.pool = UpstreamPool(self.exchange, settings, budget or DescriptorBudget(64))
         self.pool._now = lambda: self.now_s
         self.server = socket.create_server(("127.0.0.1", 0))
-        self.server.settimeout(LIMIT_S)
+        self.server.settimeout(TEST_TIMEOUT_S)
 
     def dispatch(self, endpoint: bytes = b"s1") -> int:
         """Dispatch one attempt; its number."""
@@ -165,7 +165,7 @@
         await asyncio.sleep(0.005)
     endpoint.pool.cancel(attempt)
     assert attempt.transport_handle is None
-    connection.settimeout(LIMIT_S)
+    connection.settimeout(TEST_TIMEOUT_S)
     loop = asyncio.get_running_loop()
     assert b"GET /look" in await loop.run_in_executor(None, connection.recv, 4096)
     assert await loop.run_in_executor(None, connection.recv, 4096) == b""
