--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,6 +1,6 @@
-"""The helper of the socket tests: the real program, with scripted servers as its endpoints and discovery.
+"""Test rig of the socket tests: the proxy in a process of its own, with scripted endpoints and discovery.
 
-Everything runs on free ports of the loopback; a test scripts what each server does. Nothing is modelled here.
+Everything runs on free loopback ports. Each test scripts how its servers respond.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from pathlib import Path
 from urllib.parse import parse_qs
 
-TEST_TIMEOUT_S = 30.0  # generous: a slow system must not change a verdict
+TEST_TIMEOUT_S = 30.0  # generous, so that no test fails only because the system is slow
 SETTINGS = {
     "bounds": {"cancel": True, "may_duplicate": False, "max_attempts": 5, "conn_idle_ms": 10000.0},
     "classes": [
@@ -36,12 +36,13 @@
     "zones": ["a", "b"],
 }
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
+# 503 as by an overloaded endpoint; the second states that the request was not executed.
 BARE_503 = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
 NOT_RUN = b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 def real(test):
-    """Run a coroutine test under a time limit that only a hang reaches."""
+    """Decorate a coroutine test: run it in an event loop of its own, and fail it if it hangs."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -59,18 +60,20 @@
 
 
 class ScriptedServer:
-    """A scripted server. `reply` gives the response to each request; None: no response; b"": close.
+    """An HTTP server whose responses are scripted: an endpoint or discovery.
 
-    `line` has changes to its entry in the endpoint list.
+    `reply` is the response to every request, or a function (plain or async) that is called with this server
+    and returns the response. None sends no response; b"" closes the connection. `entry_changes` override
+    fields of its entry in the endpoint list.
     """
 
-    def __init__(self, name: str, reply: Callable | bytes | None = OK, **line: object) -> None:
+    def __init__(self, name: str, reply: Callable | bytes | None = OK, **entry_changes: object) -> None:
         self.name = name
         self.reply = reply
-        self.entry_changes = line
+        self.entry_changes = entry_changes
         self.received_requests: list[tuple[bytes, dict[str, str], bytes]] = []
-        self.accepted_connections = 0  # connections
-        self.peer_closed = asyncio.Event()  # a client has closed its connection
+        self.accepted_connections = 0
+        self.peer_closed = asyncio.Event()  # set once a client has closed a connection
 
     async def start(self) -> None:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -83,9 +86,8 @@
                 self.received_requests.append(await read_message(reader))
                 reply = self.reply(self) if callable(self.reply) else self.reply
                 reply = await reply if asyncio.iscoroutine(reply) else reply
-                await asyncio.sleep(
-                    0.001
-                )  # across a network no response comes sooner; on the loopback it could
+                # No response arrives sooner than this over a network; over the loopback it could.
+                await asyncio.sleep(0.001)
                 if reply is not None:
                     writer.write(reply)
                     if not reply or b"Connection: close" in reply:
@@ -96,15 +98,17 @@
             writer.close()
 
     def entry(self, **changes: object) -> dict[str, object]:
-        """Return its entry in the endpoint list."""
-        line = {"zone": "a", "type": "m2", "group": 0, "status": "ready", "weight": 1.0, "since_ms": 0}
-        return {"name": self.name, "address": f"127.0.0.1:{self.port}"} | line | self.entry_changes | changes
+        """Return the entry of this server in the endpoint list, with these changes."""
+        defaults = {"zone": "a", "type": "m2", "group": 0, "status": "ready", "weight": 1.0, "since_ms": 0}
+        return (
+            {"name": self.name, "address": f"127.0.0.1:{self.port}"} | defaults | self.entry_changes | changes
+        )
 
 
-async def wait_for_target(scripted_server: ScriptedServer, part: bytes) -> list[bytes]:
-    """Wait for a request target that contains `part`; return all targets up to it."""
+async def wait_for_target(server: ScriptedServer, part: bytes) -> list[bytes]:
+    """Wait until a request whose target contains `part` has arrived; return all targets up to it."""
     while True:
-        targets = [got[0].split()[1] for got in scripted_server.received_requests]
+        targets = [received[0].split()[1] for received in server.received_requests]
         for index, target in enumerate(targets):
             if part in target:
                 return targets[: index + 1]
@@ -112,7 +116,11 @@
 
 
 class Rig:
-    """Discovery, endpoints and the proxy, started together."""
+    """Discovery, endpoints and one proxy, started and stopped together as an async context manager.
+
+    `settings` replace whole sections of SETTINGS. Without `await_ready`, entering the context does not wait
+    until the proxy responds.
+    """
 
     def __init__(
         self, *endpoints: ScriptedServer, settings: dict | None = None, await_ready: bool = True
@@ -120,15 +128,14 @@
         self.endpoints = endpoints
         self.settings = SETTINGS | (settings or {})
         self.await_ready = await_ready
-        self.discovery = ScriptedServer("discovery", lambda scripted_server: self._list())
+        self.discovery = ScriptedServer("discovery", lambda server: self._respond_to_call())
         self._updates: asyncio.Queue[bytes] = asyncio.Queue()
         self._updates_sent = 0
-        self.discovery_call_times_s: list[
-            float
-        ] = []  # times of the first call to discovery, and of the first after each update
+        # When discovery was first called, and when it was first called after each update that it sent.
+        self.discovery_call_times_s: list[float] = []
 
-    async def _list(self) -> bytes:
-        """Return the next update; to a watch whose time is over, a response without changes."""
+    async def _respond_to_call(self) -> bytes:
+        """Return the next queued response; a watch that times out before gets a response without changes."""
         if len(self.discovery_call_times_s) == self._updates_sent:
             self.discovery_call_times_s.append(time.monotonic())
         query = parse_qs(self.discovery.received_requests[-1][0].split()[1].partition(b"?")[2].decode())
@@ -143,27 +150,28 @@
     def list_response(
         self, *entries: dict, index: int = 2, snapshot: bool = False, indent: str | None = None
     ) -> bytes:
-        """Return a response of discovery with these entries."""
+        """Return an HTTP response of discovery with these entries."""
         text = json.dumps({"index": index, "snapshot": snapshot, "endpoints": entries}, indent=indent)
-        doc = text.replace("\n", "\r\n").encode()
-        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(doc), doc)
+        body = text.replace("\n", "\r\n").encode()
+        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
     def queue_list(self, *entries: dict, index: int = 2, snapshot: bool = False) -> None:
-        """Let discovery respond to its next call with these entries."""
+        """Queue a response of discovery with these entries."""
         self.queue_response(self.list_response(*entries, index=index, snapshot=snapshot))
 
     def queue_response(self, response: bytes) -> None:
-        """Let discovery respond to its next call with these bytes."""
+        """Queue these bytes as the response of discovery to its next call."""
         self._updates.put_nowait(response)
 
     async def wait_for_calls(self, count: int) -> None:
-        """Wait until discovery was called so often, calls after an update being counted once."""
+        """Wait until `count` calls to discovery are recorded: its first, and the first after each update."""
         while len(self.discovery_call_times_s) < count:
             await asyncio.sleep(0.005)
 
     async def __aenter__(self) -> Rig:
         for scripted_server in (self.discovery, *self.endpoints):
             await scripted_server.start()
+        # Bound and closed again, to find a free port for the proxy.
         placeholder = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         self.port = placeholder.sockets[0].getsockname()[1]
         placeholder.close()
@@ -183,9 +191,9 @@
         self.file = Path(tempfile.mkdtemp(prefix="alderspool-")) / "config.json"
         self.file.write_text(json.dumps(self.config))
         root = Path(__file__).parent.parent
-        run = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
+        command = tomllib.loads((root / "deploy" / "balancer.toml").read_text())["run"]
         self.proxy = await asyncio.create_subprocess_exec(
-            *("/bin/sh", "-c", run.replace(".venv/bin/python", sys.executable)),
+            *("/bin/sh", "-c", command.replace(".venv/bin/python", sys.executable)),
             env=os.environ
             | {"BALANCER_CONFIG": str(self.file), "BALANCER_DISCOVERY": self.config["discovery"]},
             cwd=root,
@@ -195,17 +203,17 @@
         return self
 
     async def wait_until_ready(self) -> None:
-        """Wait until the proxy responds."""
+        """Wait until the proxy responds to GET /ready, with any status."""
         while await self.is_ready() is None:
             assert self.proxy.returncode is None
             await asyncio.sleep(0.02)
 
     async def wait_until_started(self) -> None:
-        """Wait until the shell has started the program, which loads from then on."""
+        """Wait until the shell has executed the program, which then begins to load modules and settings."""
         while b"alderspool\0serve" not in Path(f"/proc/{self.proxy.pid}/cmdline").read_bytes():
             await asyncio.sleep(0.001)
 
-    async def __aexit__(self, *fault: object) -> None:
+    async def __aexit__(self, *exc_info: object) -> None:
         if self.proxy.returncode is None:
             self.proxy.kill()
             await self.proxy.wait()
@@ -214,49 +222,60 @@
             scripted_server.server.close()
 
     def reload(self, text: str) -> None:
-        """Replace the configuration file, and send the proxy SIGHUP."""
-        new = self.file.with_suffix(".new")
-        new.write_text(text)
-        new.replace(self.file)
+        """Replace the configuration file, then make the proxy reload it by SIGHUP."""
+        new_file = self.file.with_suffix(".new")
+        new_file.write_text(text)
+        new_file.replace(self.file)
         self.proxy.send_signal(signal.SIGHUP)
 
     async def is_ready(self) -> bool | None:
-        """Return whether the proxy is ready; None: it does not respond."""
+        """Return whether the proxy reports that it is ready; None if it does not respond."""
         try:
             return (await self.send_raw(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 200
         except (OSError, asyncio.IncompleteReadError):
             return None
 
-    async def connect(self, sent: bytes = b"") -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Open a connection, and send these bytes on it."""
+    async def connect(self, data: bytes = b"") -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+        """Open a connection to the proxy, and send these bytes on it."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
-        writer.write(sent)
+        writer.write(data)
         return reader, writer
 
-    async def send_raw(self, request: bytes) -> tuple[int, dict[str, str], bytes]:
+    async def send_raw(self, data: bytes) -> tuple[int, dict[str, str], bytes]:
         """Send these bytes on a new connection; return status, headers and body of the response."""
-        reader, writer = await self.connect(request)
+        reader, writer = await self.connect(data)
         try:
-            line, headers, body = await read_message(reader)
-            return int(line.split()[1]), headers, body
+            status_line, headers, body = await read_message(reader)
+            return int(status_line.split()[1]), headers, body
         finally:
             writer.close()
 
     async def get_response(
-        self, cls: str = "look", deadline_ms: int = 5000, **headers: str
+        self, class_name: str = "look", deadline_ms: int = 5000, **headers: str
     ) -> tuple[int, dict, bytes]:
         """Send a request on a new connection; return status, headers and body of the response."""
-        return await self.send_raw(request(cls, deadline_ms, **headers))
-
-
-def request(cls: str = "look", deadline_ms: int = 5000, body: bytes = b"", **headers: str) -> bytes:
-    """Return the bytes of a request with this deadline; a header that is None is left out."""
-    lines = {"Host": "api", "X-Class": cls, "X-Tenant": "acme", "X-Deadline-Ms": str(deadline_ms)}
-    lines["X-Request-Id"] = os.urandom(8).hex()
-    if cls == "put":
-        lines["Idempotency-Key"] = "k1"
-    if cls != "look":
-        lines["Content-Length"] = str(len(body))
-    lines |= {name.replace("_", "-"): value for name, value in headers.items()}
-    head = "".join(f"{name}: {value}\r\n" for name, value in lines.items() if value is not None)
-    return f"{'GET' if cls == 'look' else 'POST'} /{cls}/7f3a?x=1 HTTP/1.1\r\n{head}\r\n".encode() + body
+        return await self.send_raw(request(class_name, deadline_ms, **headers))
+
+
+def request(class_name: str = "look", deadline_ms: int = 5000, body: bytes = b"", **headers: str) -> bytes:
+    """Return the bytes of a request of this class with this deadline.
+
+    `headers` replace the default ones, with underscores for hyphens in their names; None omits a header.
+    """
+    all_headers = {
+        "Host": "api",
+        "X-Class": class_name,
+        "X-Tenant": "acme",
+        "X-Deadline-Ms": str(deadline_ms),
+    }
+    all_headers["X-Request-Id"] = os.urandom(8).hex()
+    if class_name == "put":
+        all_headers["Idempotency-Key"] = "k1"
+    if class_name != "look":
+        all_headers["Content-Length"] = str(len(body))
+    all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+    head = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items() if value is not None)
+    return (
+        f"{'GET' if class_name == 'look' else 'POST'} /{class_name}/7f3a?x=1 HTTP/1.1\r\n{head}\r\n".encode()
+        + body
+    )
