--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -41,7 +41,7 @@
         self.lb = Balancer(self.cfg, seed)
         self.policies = self.lb.policies
         self.now = 1_000_000.0
-        self.next_id = 0
+        self.last_request_id = 0
         self.log: list[Action] = self.lb.start(self.now)
 
     @property
@@ -76,9 +76,9 @@
         self, class_index: int = 0, time_left_ms: float | None = None, **fields: object
     ) -> list[Action]:
         """Feed a request with the next id, from 1 on; its deadline is by default that of its class."""
-        self.next_id += 1
+        self.last_request_id += 1
         time_left_ms = self.cfg.classes[class_index].deadline_ms if time_left_ms is None else time_left_ms
-        return self.handle(Request(self.next_id, time_left_ms, class_index, **fields))
+        return self.handle(Request(self.last_request_id, time_left_ms, class_index, **fields))
 
     def outcome(
         self,
--- a/tests/test_balancer_admission_queue.py
+++ b/tests/test_balancer_admission_queue.py
@@ -64,7 +64,7 @@
     driver.lb.refresh.last_at = 1e12
     sends(driver.request())
     driver.request()
-    queued = driver.next_id
+    queued = driver.last_request_id
     driver.now += 60.0  # of the objective of 200: what remains is less than the queue margin
     assert [a.id for a in final_actions(driver.timer(QUEUE_TIMER))] == [queued]
 
@@ -109,4 +109,4 @@
     driver.request(tenant=0)
     driver.request(tenant=1)
     (send,) = sends(driver.outcome(busy.id, 0, busy.endpoint))
-    assert send.id == driver.next_id
+    assert send.id == driver.last_request_id
--- a/tests/test_balancer_connection_health.py
+++ b/tests/test_balancer_connection_health.py
@@ -42,6 +42,6 @@
     driver.now += 800.0
     assert [type(a) for a in driver.request() if not isinstance(a, SetTimer)] == [CloseIdle, Send]
     driver.policies.connections.connect_failure_share = 0.5  # but not where connects fail
-    driver.outcome(driver.next_id, 0, send.endpoint)
+    driver.outcome(driver.last_request_id, 0, send.endpoint)
     driver.now += 800.0
     assert not [a for a in driver.request() if isinstance(a, CloseIdle)]
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -81,7 +81,7 @@
         self.open: dict[int, tuple[Request, float]] = {}  # unanswered: request, deadline
         self.attempts: dict[int, list[list]] = {}  # per request: [server entry, sent, status or None, due]
         self.timers: list[tuple[float, int]] = []
-        self.next_id = 0
+        self.last_request_id = 0
         self.check(self.lb.start(self.now))
 
     def check(self, actions: list[Action]) -> None:
@@ -162,9 +162,9 @@
             assert self.now <= deadline + self.cfg.response_slack_ms, f"request {rid} lost"
         kind = r.random()
         if kind < 0.5:
-            self.next_id += 1
+            self.last_request_id += 1
             left = r.choice([-5.0, 0.0, 30.0, 400.0, 1500.0, 1500.0, 1500.0])
-            request = Request(self.next_id, left, r.randrange(len(self.cfg.classes)), r.randint(0, 2))
+            request = Request(self.last_request_id, left, r.randrange(len(self.cfg.classes)), r.randint(0, 2))
             request.cost_hint_ms = r.choice([0.0, 1.0, 500.0, float("nan")])
             self.open[request.id] = request, self.now + left
             self.attempts[request.id] = []
