--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -28,12 +28,12 @@
 LOAD_REPORT_TIMER = timer_token(TimerKind.LOAD_REPORT)
 
 
-def endpoint_id(n: int) -> bytes:
-    return bytes((10, 0, 0, n, 31, 144))
+def endpoint_id(index: int) -> bytes:
+    return bytes((10, 0, 0, index, 31, 144))
 
 
 class Driver:
-    """Feeds one Balancer and remembers what it did."""
+    """Feeds events to one Balancer, at the time `now` in ms, and records its actions in `log`."""
 
     def __init__(self, classes: list[RequestClass] | None = None, seed: int = 1, **settings: object) -> None:
         settings.setdefault("clock_step_ms", 1.0)
@@ -46,20 +46,20 @@
 
     @property
     def endpoints(self) -> dict[EndpointId, EndpointState]:
-        """All endpoints that the balancer knows, by id."""
+        """All endpoints that the balancer has state for, by id."""
         return self.policies.endpoint_list.endpoints_by_id
 
     @property
     def selected(self) -> list[EndpointState]:
-        """The subset that the balancer uses."""
+        """The subset of endpoints that the balancer uses."""
         return self.policies.subset.selected
 
     def refresh(self) -> None:
-        """Rebuild all that was learned, at the time of the last event."""
+        """Refresh the statistics of all policies, at the time of the last event."""
         self.lb.refresh.run(self.lb.requests.now)
 
     def handle(self, event: Event) -> list[Action]:
-        """Feed one event; return the actions and keep them in the log."""
+        """Feed one event; return the actions and append them to the log."""
         actions = self.lb.handle(self.now, event)
         self.log += actions
         return actions
@@ -68,9 +68,9 @@
         """Feed an update of the endpoint list."""
         return self.handle(EndpointListUpdate(mode, [*entries]))
 
-    def set_endpoints(self, n: int, **fields: object) -> None:
-        """Feed a complete endpoint list with n ready endpoints."""
-        self.update_list(*(EndpointEntry(endpoint_id(i), **fields) for i in range(n)))
+    def set_endpoints(self, count: int, **fields: object) -> None:
+        """Feed a complete list of `count` ready endpoints; `fields` are those of each entry."""
+        self.update_list(*(EndpointEntry(endpoint_id(index), **fields) for index in range(count)))
 
     def request(
         self, class_index: int = 0, time_left_ms: float | None = None, **fields: object
@@ -82,42 +82,50 @@
 
     def outcome(
         self,
-        rid: int,
+        request_id: int,
         attempt: int,
         endpoint: bytes,
         status: int = AttemptStatus.OK,
         finished: bool | None = None,
     ) -> list[Action]:
-        """Feed the outcome of an attempt."""
+        """Feed the outcome of an attempt, by default one that was served and concludes the request."""
         finished = status == AttemptStatus.OK if finished is None else finished
-        return self.handle(Outcome(rid, attempt, endpoint, status, 5.0, finished))
+        return self.handle(Outcome(request_id, attempt, endpoint, status, 5.0, finished))
 
     def timer(self, token: int) -> list[Action]:
-        """Fire a timer."""
+        """Feed the expiry of a timer."""
         return self.handle(TimerFired(token))
 
-    def serve(self, n: int, latency_ms: float = 5.0, class_index: int = 0) -> list[bytes]:
-        """Serve n requests in sequence, each with this latency; return the endpoints that served them."""
-        used = []
-        for _ in range(n):
+    def serve(self, count: int, latency_ms: float = 5.0, class_index: int = 0) -> list[bytes]:
+        """Serve requests one after another, each with this latency; return the endpoint of each."""
+        used_endpoints = []
+        for _ in range(count):
             (send,) = sends(self.request(class_index))
             self.now += latency_ms
             self.outcome(send.id, 0, send.endpoint)
-            used.append(send.endpoint)
-        return used
+            used_endpoints.append(send.endpoint)
+        return used_endpoints
 
 
 def sends(actions: list[Action]) -> list[Send]:
-    return [a for a in actions if isinstance(a, Send)]
+    """Return the Send actions among these."""
+    return [action for action in actions if isinstance(action, Send)]
 
 
 def final_actions(actions: list[Action]) -> list[Action]:
-    return [a for a in actions if isinstance(a, Reject | Fail)]
-
-
-def driver_with_endpoints(number: int, instance_count: int, servers: int, **settings: object) -> Driver:
-    d = Driver(instance_number=number, instance_count=instance_count, **settings)
-    d.update_list(
-        *(EndpointEntry(bytes((10, i * 7 % 256, 0, i, 31, 144)), zone=i % 2) for i in range(servers))
+    """Return the actions among these that conclude a request without a response of an endpoint."""
+    return [action for action in actions if isinstance(action, Reject | Fail)]
+
+
+def driver_with_endpoints(
+    instance_number: int, instance_count: int, endpoint_count: int, **settings: object
+) -> Driver:
+    """Return a driver of one of several instances, with ready endpoints in two zones."""
+    driver = Driver(instance_number=instance_number, instance_count=instance_count, **settings)
+    driver.update_list(
+        *(
+            EndpointEntry(bytes((10, index * 7 % 256, 0, index, 31, 144)), zone=index % 2)
+            for index in range(endpoint_count)
+        )
     )
-    return d
+    return driver
