--- a/tests/fleet_endpoint.py
+++ b/tests/fleet_endpoint.py
@@ -40,7 +40,7 @@
     speed: float
     cell: int
     started_at_ms: float = 0.0  # 0: long ago
-    state: int = Availability.READY
+    availability: int = Availability.READY
     is_alive: bool = True
     silent: bool = False  # injected fault: accepts attempts and never responds
     slowdown_factor: float = 1.0  # injected fault: divides the speed
@@ -64,11 +64,11 @@
 
     def entry(self) -> EndpointEntry:
         """Return its line of the endpoint list."""
-        return EndpointEntry(self.id, 1.0, self.cell, self.started_at_ms, self.state)
+        return EndpointEntry(self.id, 1.0, self.cell, self.started_at_ms, self.availability)
 
     def is_ready_and_responding(self) -> bool:
         """Return whether it is listed as ready and responds."""
-        return self.is_alive and not self.silent and self.state == Availability.READY
+        return self.is_alive and not self.silent and self.availability == Availability.READY
 
     def sample_load(self, now_ms: float) -> None:
         """Update the averages of its load, and begin or end the degradation that overload causes."""
@@ -95,5 +95,5 @@
         """Start a new process, in slow start."""
         self.is_alive = True
         self.started_at_ms = now_ms
-        self.state = Availability.READY
+        self.availability = Availability.READY
         self.degraded_since = None
--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -208,7 +208,7 @@
 
     def _list_as_gone(self, node: EndpointNode) -> None:
         if not node.is_alive:
-            node.state = Availability.GONE
+            node.availability = Availability.GONE
             self.publish_endpoint_list()
 
     def restart_endpoint(self, node: EndpointNode) -> None:
@@ -278,7 +278,7 @@
         return proxy
 
     def _send_endpoint_list(self, proxy: Proxy) -> None:
-        entries = [node.entry() for node in self.nodes if node.state != Availability.GONE]
+        entries = [node.entry() for node in self.nodes if node.availability != Availability.GONE]
         self._deliver(proxy, EndpointListUpdate(UpdateMode.FULL, entries))
 
     def _deliver(self, proxy: Proxy, event: Event) -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -47,11 +47,11 @@
 def drained(fleet: Fleet, part: float, seconds: float) -> None:
     struck = fleet.nodes[: max(1, int(part * 0.5 * len(fleet.nodes)))]
     for node in struck:
-        node.state = Availability.DRAINING
+        node.availability = Availability.DRAINING
     fleet.publish_endpoint_list()
     fleet.run(seconds)
     for node in struck:
-        node.state = Availability.READY
+        node.availability = Availability.READY
     fleet.publish_endpoint_list()
 
 
