--- a/tests/fleet_model.py
+++ b/tests/fleet_model.py
@@ -49,17 +49,18 @@
 MEAN_WORK_BY_CLASS = (85.0, 48.0, 100.0)
 REQUEST_SHARE_BY_CLASS = (0.40, 0.36, 0.24)
 REQUEST_SHARE_BY_TENANT = (0.55, 0.36, 0.09)
-TOTAL_QUOTA_SHARE = 0.8  # of the fleet's capacity, all tenants together
+TOTAL_QUOTA_SHARE = 0.8  # sum of all tenants' quotas over the capacity of the fleet
+# The work of a request is lognormal, with a mean close to that of its class.
 WORK_LOG_MEAN = -0.1
 WORK_LOG_DEVIATION = 0.45
 
 START_MS = 1_000_000.0
 NETWORK_DELAY_MS = 1.0  # one way
-PROXY_STEP_MS = 2.0  # a proxy handles what has come in once in each step
+PROXY_STEP_MS = 2.0  # a proxy collects events for this long, then handles them together
 RESPONSE_SLACK_MS = 8.0
-DEATH_NOTICE_DELAY_MS = 1500.0  # from the death of an endpoint to the update of the list
+CRASH_LISTING_DELAY_MS = 1500.0  # from the crash of an endpoint to the endpoint list without it
 CLIENT_BACKOFF_MS = 50.0
-CLIENT_MIN_TIME_LEFT_MS = 100.0  # a client with less does not retry
+CLIENT_MIN_TIME_LEFT_MS = 100.0  # a client with less time left does not retry
 SAMPLE_INTERVAL_MS = 20.0
 MIN_TIMER_DELAY_MS = 0.01
 
@@ -74,7 +75,7 @@
 
 @dataclass
 class SimulatedRequest:
-    """One request of a client; a client's retry is a request of its own."""
+    """One request of a client. A retry by the client is a request of its own."""
 
     id: int
     request_class: int
@@ -82,19 +83,19 @@
     work: float
     deadline_at_ms: float
     objective_at_ms: float
-    first_sent_second: int  # of the run, in which the client sent it for the first time
+    first_sent_second: int  # second of the run in which the client first sent it
     is_client_retry: bool = False
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
     @property
     def idempotency(self) -> Idempotency:
-        """Whether it may be executed more than once."""
+        """The idempotency of its class: whether it may be executed more than once."""
         return CLASSES[self.request_class].idempotency
 
 
 @dataclass
 class SimulatedAttempt:
-    """One attempt of a proxy at a request."""
+    """One attempt of a proxy to have an endpoint execute a request."""
 
     proxy: Proxy
     request: SimulatedRequest
@@ -107,21 +108,23 @@
 
 @dataclass
 class Proxy:
-    """A Balancer and what it was given."""
+    """A Balancer with its pending requests and the events that wait for its next step."""
 
     lb: Balancer
-    pending: dict[int, SimulatedRequest] = field(default_factory=dict)  # without a final response
-    known: dict[int, SimulatedRequest] = field(default_factory=dict)  # until the deadline and its slack
-    availability: dict[bytes, int] = field(default_factory=dict)  # by the last endpoint list
+    # Requests by id: those without a final response, and all until deadline and response slack have passed.
+    pending: dict[int, SimulatedRequest] = field(default_factory=dict)
+    unexpired: dict[int, SimulatedRequest] = field(default_factory=dict)
+    availability: dict[bytes, int] = field(default_factory=dict)  # of each endpoint in the last list received
     inbox: list[Event] = field(default_factory=list)
     is_step_scheduled: bool = False
 
 
 class Fleet:
-    """Endpoints, proxies and clients.
+    """Endpoints, proxies and clients in virtual time.
 
-    `load` is the work that clients request over the capacity of the fleet; `only` restricts the requests to
-    one class; `flood` multiplies the requests of the first tenant. Further settings go to the Balancers.
+    `load` is the ratio of the work that clients request to the capacity of the fleet. `only` restricts the
+    requests to the class with this index. `flood` multiplies the requests of the first tenant. `settings` are
+    passed on to the Balancers.
     """
 
     def __init__(
@@ -141,7 +144,7 @@
             EndpointNode(bytes((10, 0, 0, number, 0, 80)), self.random.uniform(0.7, 2.2), number // 3)
             for number in range(nodes)
         ]
-        self.capacity = CORES * sum(node.speed for node in self.nodes)  # ms of work in a ms
+        self.capacity = CORES * sum(node.speed for node in self.nodes)  # ms of work per ms
         self._class_shares = list(REQUEST_SHARE_BY_CLASS)
         mean_work = sum(
             work * share for work, share in zip(MEAN_WORK_BY_CLASS, REQUEST_SHARE_BY_CLASS, strict=True)
@@ -154,57 +157,62 @@
         quota_rps = 1000.0 * TOTAL_QUOTA_SHARE * self.capacity / mean_work
         self._settings = _balancer_settings(quota_rps, proxies, settings)
 
-        self.arrived_attempts: list[SimulatedAttempt] = []  # all that arrived at an endpoint, in order
-        self.seconds_with_attempts: set[int] = set()  # seconds in which a proxy sent an attempt
-        self.responsive_seconds: set[int] = set()  # seconds throughout which a ready endpoint responded
-        self._unable: set[int] = set()
-        self.offered: defaultdict[int, float] = defaultdict(float)  # work by second
-        self.in_time: defaultdict[int, float] = defaultdict(float)  # work by second of the first sending
-        self.work_by_tenant = [[0.0, 0.0] for _ in REQUEST_SHARE_BY_TENANT]  # work offered, work in time
+        self.arrived_attempts: list[SimulatedAttempt] = []  # at any endpoint, in order of arrival
+        self.seconds_with_attempts: set[int] = set()  # those in which a proxy sent an attempt
+        self.responsive_seconds: set[int] = set()  # those with a ready, responding endpoint throughout
+        self._unresponsive_seconds: set[int] = set()
+        self.offered: defaultdict[int, float] = defaultdict(float)  # work of new requests, by second
+        # Work of requests served within their latency objective, by second in which they were first sent.
+        self.work_in_time: defaultdict[int, float] = defaultdict(float)
+        # Work offered and work in time of each tenant.
+        self.work_by_tenant = [[0.0, 0.0] for _ in REQUEST_SHARE_BY_TENANT]
         self.response_counts: Counter[int] = Counter()  # by FinalResponse
-        self._executions: Counter[int] = Counter()  # by request
+        self._executions: Counter[int] = Counter()  # by request id
         self.proxies = [self._start_proxy(number) for number in range(proxies)]
-        self.time.call_later(0.0, self._client_sends)
+        self.time.call_later(0.0, self._send_new_request)
         self.time.call_later(SAMPLE_INTERVAL_MS, self._sample_endpoints)
 
     # ---- time and results ------------------------------------------------------------------------
 
     @property
     def now(self) -> float:
-        """The virtual time, ms."""
+        """The virtual time in ms."""
         return self.time.now_ms
 
     def run(self, seconds: float) -> None:
-        """Advance the virtual time by so many seconds."""
+        """Advance the virtual time."""
         self.time.run(1000.0 * seconds)
 
     def elapsed_s(self) -> int:
-        """Return the number of whole seconds since the start."""
+        """Return the whole seconds since the start."""
         return int((self.now - START_MS) / 1000.0)
 
     def goodput(self, first: int, last: int) -> float:
-        """Return the work in time of these seconds, over the smaller of what was offered and the capacity."""
+        """Return the share of the achievable work that was done in time, in seconds `first` to `last` - 1.
+
+        Achievable is the work offered or the capacity of the fleet, whichever is smaller.
+        """
         seconds = range(first, last)
         offered = sum(self.offered[second] for second in seconds)
         achievable = min(offered, 1000.0 * self.capacity * len(seconds))
-        return sum(self.in_time[second] for second in seconds) / achievable
+        return sum(self.work_in_time[second] for second in seconds) / achievable
 
     # ---- faults ----------------------------------------------------------------------------------
 
     def restart_proxy(self, number: int) -> None:
-        """Kill a proxy and start a new one; its pending requests are lost, its attempts run on unheard."""
+        """Replace a proxy by a new one; its pending requests are lost, but its attempts still run."""
         self.proxies[number] = self._start_proxy(number)
 
     def kill_endpoint(self, node: EndpointNode) -> None:
-        """End the process of an endpoint: its attempts are reset, and the list follows later."""
-        node.lose_process()
+        """Crash an endpoint: its outstanding attempts are reset; later it leaves the endpoint list."""
+        node.crash_process()
         for proxy in self.proxies:
-            for request in proxy.known.values():
+            for request in proxy.unexpired.values():
                 for attempt in request.attempts:
                     if attempt.node is node and attempt.status is None:
-                        self._end_after_network_delay(attempt, AttemptStatus.RESET)
+                        self._report_after_network_delay(attempt, AttemptStatus.RESET)
         node.queue.clear()
-        self.time.call_later(DEATH_NOTICE_DELAY_MS, partial(self._list_as_gone, node))
+        self.time.call_later(CRASH_LISTING_DELAY_MS, partial(self._list_as_gone, node))
 
     def _list_as_gone(self, node: EndpointNode) -> None:
         if not node.is_alive:
@@ -217,14 +225,14 @@
         self.publish_endpoint_list()
 
     def publish_endpoint_list(self) -> None:
-        """Send the endpoint list as it is now to all proxies."""
+        """Send the current endpoint list to all proxies."""
         for proxy in self.proxies:
             self._send_endpoint_list(proxy)
 
     # ---- clients ---------------------------------------------------------------------------------
 
-    def _client_sends(self) -> None:
-        self.time.call_later(self.random.expovariate(self._requests_per_ms), self._client_sends)
+    def _send_new_request(self) -> None:
+        self.time.call_later(self.random.expovariate(self._requests_per_ms), self._send_new_request)
         class_number = self.random.choices(range(len(CLASSES)), self._class_shares)[0]
         tenant = self.random.choices(range(len(REQUEST_SHARE_BY_TENANT)), self._tenant_shares)[0]
         work = MEAN_WORK_BY_CLASS[class_number] * self.random.lognormvariate(
@@ -251,7 +259,7 @@
     def _send_request(self, request: SimulatedRequest) -> None:
         proxy = self.proxies[self.random.randrange(len(self.proxies))]
         proxy.pending[request.id] = request
-        proxy.known[request.id] = request
+        proxy.unexpired[request.id] = request
         time_left_ms = request.deadline_at_ms - self.now
         self._deliver(proxy, Request(request.id, time_left_ms, request.request_class, request.tenant))
         check_after_ms = time_left_ms + RESPONSE_SLACK_MS + PROXY_STEP_MS
@@ -259,9 +267,9 @@
 
     def _assert_concluded(self, proxy: Proxy, request: SimulatedRequest) -> None:
         assert request.id not in proxy.pending or proxy not in self.proxies, f"request {request.id} lost"
-        proxy.known.pop(request.id, None)
+        proxy.unexpired.pop(request.id, None)
 
-    def _client_retries(self, rejected: SimulatedRequest) -> None:
+    def _schedule_client_retry(self, rejected: SimulatedRequest) -> None:
         time_left_ms = rejected.deadline_at_ms - self.now
         if rejected.is_client_retry or time_left_ms <= CLIENT_MIN_TIME_LEFT_MS:
             return
@@ -273,7 +281,7 @@
     def _start_proxy(self, number: int) -> Proxy:
         settings = replace(self._settings, instance_number=number)
         proxy = Proxy(Balancer(settings, self.random.randrange(1 << 30)))
-        self._perform(proxy, proxy.lb.start(self.now))
+        self._execute_actions(proxy, proxy.lb.start(self.now))
         self._send_endpoint_list(proxy)
         return proxy
 
@@ -292,27 +300,27 @@
         events = proxy.inbox
         proxy.inbox = []
         if proxy not in self.proxies:
-            return  # killed meanwhile
+            return  # it has been replaced meanwhile
         for event in events:
             if isinstance(event, EndpointListUpdate):
                 proxy.availability = {entry.id: entry.availability for entry in event.entries}
             elif isinstance(event, Outcome) and event.finished:
                 event.finished = self._conclude_as_served(proxy.pending.pop(event.id, None))
-            self._perform(proxy, proxy.lb.handle(self.now, event))
+            self._execute_actions(proxy, proxy.lb.handle(self.now, event))
 
     def _conclude_as_served(self, request: SimulatedRequest | None) -> bool:
         if request is None:
-            return False  # a hedge, or too late: the request already has its final response
+            return False  # the other attempt of a hedge was first, or the request was rejected or failed
         self.response_counts[FinalResponse.SERVED] += 1
         if self.now <= request.objective_at_ms:
-            self.in_time[request.first_sent_second] += request.work
+            self.work_in_time[request.first_sent_second] += request.work
             self.work_by_tenant[request.tenant][1] += request.work
         return True
 
-    def _perform(self, proxy: Proxy, actions: list[Action]) -> None:
+    def _execute_actions(self, proxy: Proxy, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                # A KeyError says that it was sent after the final response.
+                # `pending` raises KeyError if the request already has its final response.
                 self._send_attempt(proxy, proxy.pending[action.id], action.endpoint)
             elif isinstance(action, Reject):
                 self._reject(proxy, action)
@@ -322,13 +330,13 @@
                 fire = partial(self._fire_timer, proxy, action.token)
                 self.time.call_later(max(action.delay_ms, MIN_TIMER_DELAY_MS), fire)
             elif isinstance(action, Cancel):
-                self._cancel_attempt(proxy.known[action.id].attempts[action.attempt])
+                self._cancel_attempt(proxy.unexpired[action.id].attempts[action.attempt])
 
     def _fire_timer(self, proxy: Proxy, token: int) -> None:
         self._deliver(proxy, TimerFired(token))
 
     def _conclude(self, proxy: Proxy, request_id: int, response: FinalResponse) -> SimulatedRequest:
-        request = proxy.pending.pop(request_id)  # KeyError: a second final response
+        request = proxy.pending.pop(request_id)  # KeyError if it already has one
         self.response_counts[response] += 1
         assert self.now <= request.deadline_at_ms + RESPONSE_SLACK_MS
         return request
@@ -337,9 +345,9 @@
         request = self._conclude(proxy, action.id, FinalResponse.REJECTED)
         is_idempotent = request.idempotency == Idempotency.IDEMPOTENT
         assert is_idempotent or all(attempt.status in NEVER_RAN for attempt in request.attempts), (
-            "rejected what may have run"
+            "rejected a request that may have been executed"
         )
-        self._client_retries(request)
+        self._schedule_client_retry(request)
 
     # ---- attempts --------------------------------------------------------------------------------
 
@@ -352,12 +360,12 @@
         attempt = SimulatedAttempt(proxy, request, len(request.attempts), node, self.now)
         request.attempts.append(attempt)
         self.seconds_with_attempts.add(self.elapsed_s())
-        self.time.call_later(NETWORK_DELAY_MS, partial(self._arrive, attempt))
+        self.time.call_later(NETWORK_DELAY_MS, partial(self._handle_arrival, attempt))
         timeout_ms = max(request.deadline_at_ms - self.now, 0.0)
-        self.time.call_later(timeout_ms, partial(self._end, attempt, AttemptStatus.TIMEOUT))
+        self.time.call_later(timeout_ms, partial(self._report_outcome, attempt, AttemptStatus.TIMEOUT))
 
-    def _end(self, attempt: SimulatedAttempt, status: AttemptStatus) -> None:
-        """Report to the proxy how an attempt ended, once."""
+    def _report_outcome(self, attempt: SimulatedAttempt, status: AttemptStatus) -> None:
+        """Report the outcome of an attempt to its proxy, unless one has been reported already."""
         if attempt.status is not None:
             return
         attempt.status = status
@@ -371,20 +379,20 @@
         )
         self._deliver(attempt.proxy, outcome)
 
-    def _end_after_network_delay(self, attempt: SimulatedAttempt, status: AttemptStatus) -> None:
-        self.time.call_later(NETWORK_DELAY_MS, partial(self._end, attempt, status))
+    def _report_after_network_delay(self, attempt: SimulatedAttempt, status: AttemptStatus) -> None:
+        self.time.call_later(NETWORK_DELAY_MS, partial(self._report_outcome, attempt, status))
 
     def _cancel_attempt(self, attempt: SimulatedAttempt) -> None:
         attempt.is_cancelled = True
-        self._end_after_network_delay(attempt, AttemptStatus.CANCELLED)
+        self._report_after_network_delay(attempt, AttemptStatus.CANCELLED)
 
     # ---- endpoints -------------------------------------------------------------------------------
 
-    def _arrive(self, attempt: SimulatedAttempt) -> None:
+    def _handle_arrival(self, attempt: SimulatedAttempt) -> None:
         node = attempt.node
         self.arrived_attempts.append(attempt)
         if not node.is_alive:
-            self._end_after_network_delay(attempt, AttemptStatus.CONNECT_FAILED)
+            self._report_after_network_delay(attempt, AttemptStatus.CONNECT_FAILED)
         elif not node.silent:
             node.queue.append(attempt)
             self._start_queued(node)
@@ -396,7 +404,7 @@
                 continue
             self._count_execution(attempt.request)
             node.running += 1
-            duration_ms = attempt.request.work / node.rate(self.now)
+            duration_ms = attempt.request.work / node.core_speed(self.now)
             self.time.call_later(duration_ms, partial(self._complete, node, attempt, node.incarnation))
 
     def _count_execution(self, request: SimulatedRequest) -> None:
@@ -411,7 +419,7 @@
             return
         node.running -= 1
         if not node.silent:
-            self._end_after_network_delay(attempt, AttemptStatus.OK)
+            self._report_after_network_delay(attempt, AttemptStatus.OK)
         self._start_queued(node)
 
     def _sample_endpoints(self) -> None:
@@ -419,8 +427,8 @@
         if any(node.is_ready_and_responding() for node in self.nodes):
             self.responsive_seconds.add(self.elapsed_s())
         else:
-            self._unable.add(self.elapsed_s())
-        self.responsive_seconds -= self._unable
+            self._unresponsive_seconds.add(self.elapsed_s())
+        self.responsive_seconds -= self._unresponsive_seconds
         for node in self.nodes:
             node.sample_load(self.now)
 
@@ -445,7 +453,7 @@
 
 
 def _assert_may_be_sent(request: SimulatedRequest, node: EndpointNode) -> None:
-    """Assert that a further attempt at this endpoint cannot cause a second execution."""
+    """Assert that the idempotency of the request permits another attempt, at this endpoint."""
     may_have_run = [attempt for attempt in request.attempts if attempt.status not in NEVER_RAN]
     if not may_have_run:
         return
--- a/tests/virtual_time.py
+++ b/tests/virtual_time.py
@@ -1,4 +1,4 @@
-"""Virtual time for models: callbacks run in order of their due times, ties in order of scheduling."""
+"""Virtual time for discrete-event models. Callbacks due at the same time run in order of scheduling."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
         self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
 
     def call_later(self, delay_ms: float, callback: Callable[[], None]) -> None:
-        """Schedule a callback this long after now."""
+        """Schedule a callback after this delay."""
         self._sequence += 1
         heapq.heappush(self._scheduled, (self.now_ms + delay_ms, self._sequence, callback))
 
     def run(self, duration_ms: float) -> None:
-        """Advance by this long, and make all calls that are due by then."""
+        """Advance by this duration, and run all callbacks that become due."""
         end_ms = self.now_ms + duration_ms
         while self._scheduled and self._scheduled[0][0] <= end_ms:
             self.now_ms, _, callback = heapq.heappop(self._scheduled)
