--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -17,7 +17,7 @@
 from types import SimpleNamespace
 
 import pytest
-from rig import NOT_RUN, OK, Party, Rig, read_message, real, request
+from rig import NOT_RUN, OK, Rig, ScriptedServer, read_message, real, request
 from test_exchange import SEND, set_up_parts
 
 from alderspool.balancer.actions import Send
@@ -169,7 +169,7 @@
 # ---- time in the accept queue ----------------------------
 
 
-class Endpoint(Party):
+class Endpoint(ScriptedServer):
     """A scripted endpoint that records when each attempt arrived and its X-Deadline-Ms."""
 
     def __init__(self, name: str, response: bytes) -> None:
@@ -177,8 +177,8 @@
         self.attempts: list[tuple[float, int]] = []
         self.response = response
 
-    def _record(self, party: Party) -> bytes:
-        self.attempts.append((time.monotonic(), int(self.got[-1][1]["x-deadline-ms"])))
+    def _record(self, scripted_server: ScriptedServer) -> bytes:
+        self.attempts.append((time.monotonic(), int(self.received_requests[-1][1]["x-deadline-ms"])))
         return self.response
 
 
@@ -243,13 +243,13 @@
     release = asyncio.Event()
     sent_deadline_ms: list[int] = []
 
-    async def delay_the_first(party: Party) -> bytes:
-        sent_deadline_ms.append(int(party.got[-1][1]["x-deadline-ms"]))
-        if len(party.got) == 1:
+    async def delay_the_first(scripted_server: ScriptedServer) -> bytes:
+        sent_deadline_ms.append(int(scripted_server.received_requests[-1][1]["x-deadline-ms"]))
+        if len(scripted_server.received_requests) == 1:
             await release.wait()
         return OK
 
-    async with Rig(Party("s1", delay_the_first)) as rig:
+    async with Rig(ScriptedServer("s1", delay_the_first)) as rig:
         reader, writer = await rig.connect(request("pay", 5000) + request("look", 5000))
         while not sent_deadline_ms:
             await asyncio.sleep(0.005)
--- a/tests/test_balancer_connection_health.py
+++ b/tests/test_balancer_connection_health.py
@@ -16,7 +16,7 @@
 
 def test_prefers_open_connections_if_connects_often_fail() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(3)
+    driver.set_endpoints(3)
     (send,) = sends(driver.request())
     driver.outcome(send.id, 0, send.endpoint)  # one connection is open now
     assert len(set(driver.serve(6))) == 3
@@ -30,7 +30,7 @@
 
 def test_reopens_connections_idle_for_as_long_as_one_that_was_reset() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.serve(3)
     assert not [a for a in driver.log if isinstance(a, CloseIdle)]
     driver.now += 1000.0
@@ -42,6 +42,6 @@
     driver.now += 800.0
     assert [type(a) for a in driver.request() if not isinstance(a, SetTimer)] == [CloseIdle, Send]
     driver.policies.connections.connect_failure_share = 0.5  # but not where connects fail
-    driver.outcome(driver.next_id, 0, send.endpoint)
+    driver.outcome(driver.last_request_id, 0, send.endpoint)
     driver.now += 800.0
     assert not [a for a in driver.request() if isinstance(a, CloseIdle)]
--- a/tests/test_balancer_outlier_detection.py
+++ b/tests/test_balancer_outlier_detection.py
@@ -16,7 +16,7 @@
 
 def test_attempts_lost_in_one_pause_count_as_one_failure() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     driver.policies.limit.per_endpoint = 10.0
     driver.lb.refresh.last_at = -1.0  # limits are rebuilt at the next event
     driver.serve(3)
@@ -29,7 +29,7 @@
 
 def test_timeout_of_an_attempt_sent_too_late_does_not_count_against_the_endpoint() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     (send,) = sends(driver.request())
     driver.now += 60.0
     driver.outcome(send.id, 0, send.endpoint, AttemptStatus.TIMEOUT)
@@ -50,7 +50,7 @@
 
 def test_failing_endpoint_is_ejected_and_returns_after_a_successful_trial() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     _serve_with_failures(driver, {endpoint_id(0)}, 150)
     assert any(isinstance(a, Log) and a.text.startswith("eject 0a0000") for a in driver.log)
     driver.now += 200.0
@@ -62,7 +62,7 @@
 
 def test_panic_keeps_back_off_short_when_most_endpoints_fail() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     _serve_with_failures(driver, {endpoint_id(i) for i in range(4)}, 60)
     driver.now += 60.0  # a typical latency; outside panic mode, the back-off takes seconds
     assert sends(driver.request())
@@ -71,7 +71,7 @@
 def test_timeout_opens_circuit_only_if_later_attempts_were_served() -> None:
     for others in (0, 1):
         driver = Driver([IDEMPOTENT, IDEMPOTENT], tenants=[Tenant("a")])
-        driver.list_endpoints(1)
+        driver.set_endpoints(1)
         (endpoint,) = driver.endpoints.values()
         sends(driver.request(0))
         for _ in range(others):
@@ -84,7 +84,7 @@
 
 def _two_class_driver(**settings: object) -> Driver:
     driver = Driver([RequestClass(name, 200.0, 400.0) for name in "ab"], **settings)
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     return driver
 
 
@@ -97,9 +97,9 @@
         driver.outcome(send.id, 1, send.endpoint)
     bad = sends(driver.log)[0].endpoint
     driver.now += 100.0
-    assert bad not in driver.serve(10, cls=0) and bad in driver.serve(10, cls=1)
+    assert bad not in driver.serve(10, class_index=0) and bad in driver.serve(10, class_index=1)
     driver.now += 3000.0
-    assert bad in driver.serve(10, cls=0)  # it is tried again
+    assert bad in driver.serve(10, class_index=0)  # it is tried again
 
 
 def test_circuit_of_a_tenant_opens_only_once_two_of_its_classes_failed() -> None:
@@ -124,7 +124,7 @@
 
 def test_attempt_is_written_off_after_four_later_responses() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(1)
+    driver.set_endpoints(1)
     (endpoint,) = driver.endpoints.values()
     endpoint.limit = endpoint.own_limit = 2
     driver.lb.refresh.last_at = 1e12  # no refresh: the limit stays
--- a/tests/test_balancer_retry_budget.py
+++ b/tests/test_balancer_retry_budget.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from conftest import UNSAFE, Driver, finals, sends
+from conftest import UNSAFE, Driver, final_actions, sends
 
 from alderspool.balancer.actions import (
     Reject,
@@ -21,7 +21,7 @@
         retry_budget_ratio=0.25,
         max_attempts=9,
     )
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     (send,) = sends(driver.request())
     for attempt in range(2):  # 1 + 0.25 x 1 allows one retry, whatever ended the attempt before it
         actions = driver.outcome(
@@ -29,18 +29,18 @@
         )
         assert len(sends(actions)) == 1 - attempt
         send = sends(actions)[0] if sends(actions) else send
-    assert finals(actions) == [Reject(1, 0.0)]  # immediately
+    assert final_actions(actions) == [Reject(1, 0.0)]  # immediately
     for _ in range(2):
         (send,) = sends(driver.request())
         driver.now += 1.0
         driver.outcome(send.id, 0, send.endpoint)
     (send,) = sends(driver.request())  # the fourth request: 1 + 0.25 x 4 allows two retries
     (send,) = sends(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED))
-    assert finals(driver.outcome(send.id, 1, send.endpoint, AttemptStatus.CONNECT_FAILED))
+    assert final_actions(driver.outcome(send.id, 1, send.endpoint, AttemptStatus.CONNECT_FAILED))
     driver.now += 5010.0  # the window has passed, for the requests too
     (send,) = sends(driver.request())
     (send,) = sends(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED))
-    assert finals(driver.outcome(send.id, 1, send.endpoint, AttemptStatus.CONNECT_FAILED))
+    assert final_actions(driver.outcome(send.id, 1, send.endpoint, AttemptStatus.CONNECT_FAILED))
 
 
 def test_hedges_count_against_the_configured_budget() -> None:
@@ -51,7 +51,7 @@
         hedging_allowed=True,
         cancel_allowed=True,
     )
-    driver.list_endpoints(4)
+    driver.set_endpoints(4)
     driver.request()
     driver.request()
     driver.now += 90.0
@@ -61,8 +61,10 @@
 
 def test_retries_after_failed_connects_count_against_the_budget() -> None:
     driver = Driver([UNSAFE])
-    driver.list_endpoints(2)
+    driver.set_endpoints(2)
     driver.policies.retry_budget.tokens = 0.0  # a further connect would cost an endpoint a handshake
     (send,) = sends(driver.request())
-    assert finals(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED)) == [Reject(1, 0.0)]
+    assert final_actions(driver.outcome(send.id, 0, send.endpoint, AttemptStatus.CONNECT_FAILED)) == [
+        Reject(1, 0.0)
+    ]
     assert driver.policies.retry_budget.tokens == 0.2
--- a/tests/test_balancer_retry_rules.py
+++ b/tests/test_balancer_retry_rules.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import pytest
-from conftest import UNSAFE, Driver, endpoint_id, finals, sends
+from conftest import UNSAFE, Driver, endpoint_id, final_actions, sends
 
 from alderspool.balancer.actions import (
     Action,
@@ -44,13 +44,13 @@
 @pytest.mark.parametrize("idempotency", list(Idempotency))
 def test_attempt_that_never_ran_is_retried_anywhere(idempotency: Idempotency, status: AttemptStatus) -> None:
     _, actions = _end_first_attempt(idempotency, DeduplicationScope.CELL, status)
-    assert len(sends(actions)) == 1 and not finals(actions)
+    assert len(sends(actions)) == 1 and not final_actions(actions)
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN_STATUSES)
 def test_non_idempotent_request_that_may_have_run_fails_without_rejection(status: AttemptStatus) -> None:
     _, actions = _end_first_attempt(Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, status)
-    assert not sends(actions) and finals(actions) == [Fail(1)]
+    assert not sends(actions) and final_actions(actions) == [Fail(1)]
 
 
 @pytest.mark.parametrize("status", MAY_HAVE_RUN_STATUSES)
@@ -66,7 +66,7 @@
     driver.now += 1000.0  # after the deduplication window: no more attempts
     last = driver.outcome(1, 1, retry[0].endpoint, AttemptStatus.TIMEOUT)
     assert not sends(last)
-    assert [type(a) for a in finals(last)] == [
+    assert [type(a) for a in final_actions(last)] == [
         Reject if deduplication_scope == DeduplicationScope.ALL else Fail
     ]
 
@@ -97,7 +97,7 @@
     driver.update_list(*(EndpointEntry(endpoint_id(i), cell=i) for i in range(4)))
     (send,) = sends(driver.request(0))
     actions = driver.outcome(send.id, 0, send.endpoint, AttemptStatus.REJECTED)
-    assert (finals(actions) == [Fail(1)]) == may_have_run and bool(sends(actions)) != may_have_run
+    assert (final_actions(actions) == [Fail(1)]) == may_have_run and bool(sends(actions)) != may_have_run
     (send,) = sends(driver.request(1))
     actions = driver.outcome(send.id, 0, send.endpoint, AttemptStatus.REJECTED)
     assert bool(sends(actions)) != may_have_run  # no other endpoint is in its cell
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 import pytest
-from rig import SETTINGS, Party, Rig, read_message, real, request
+from rig import SETTINGS, Rig, ScriptedServer, read_message, real, request
 
 from alderspool.balancer.settings import RequestClass, Settings
 from alderspool.program.graceful_shutdown import CHECK_INTERVAL_S, ShutdownBudget, shut_down
@@ -212,7 +212,7 @@
     """Send SIGTERM and wait until the proxy drains; return when the signal was sent."""
     sent_at_s = time.monotonic()
     rig.proxy.send_signal(signal.SIGTERM)
-    while await rig.ready():
+    while await rig.is_ready():
         await asyncio.sleep(POLL_INTERVAL_S)
     return sent_at_s
 
@@ -227,9 +227,9 @@
     """
     classes = [SETTINGS["classes"][1] | {"deadline_ms": longest_deadline_ms}]
     effective_deadline_s = min(longest_deadline_ms, 3000.0) / 1000.0
-    async with Rig(Party("s1", None), settings={"classes": classes}) as rig:
+    async with Rig(ScriptedServer("s1", None), settings={"classes": classes}) as rig:
         before_sigterm = await rig.connect(request("pay", 60000))
-        while not rig.endpoints[0].got:
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(POLL_INTERVAL_S)
         sent_at_s = await start_shutdown(rig)
         while_accepting = await rig.connect(request("pay", 60000))
@@ -247,7 +247,7 @@
 
     Meanwhile the kernel queues connections for it, some with a complete request, some with half of one.
     """
-    async with Rig(Party("s1"), Party("s2")) as rig:
+    async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         sent_at_s = await start_shutdown(rig)
         rig.proxy.send_signal(signal.SIGSTOP)
         complete_connections = [await rig.connect(request("pay")) for _ in range(20)]
@@ -266,13 +266,13 @@
 async def test_serves_pipelined_requests_before_their_connection_ends() -> None:
     release = asyncio.Event()
 
-    async def respond_when_released(party: Party) -> bytes:
+    async def respond_when_released(scripted_server: ScriptedServer) -> bytes:
         await release.wait()
         return b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
-    async with Rig(Party("s1", respond_when_released)) as rig:
+    async with Rig(ScriptedServer("s1", respond_when_released)) as rig:
         reader, _ = await rig.connect(request("pay") + request("pay") + request("look"))
-        while not rig.endpoints[0].got:
+        while not rig.endpoints[0].received_requests:
             await asyncio.sleep(POLL_INTERVAL_S)
         await start_shutdown(rig)
         release.set()
@@ -285,7 +285,7 @@
 
 @real
 async def test_incomplete_request_does_not_delay_the_shutdown_beyond_its_deadline() -> None:
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         sent_at_s = await start_shutdown(rig)
         reader, writer = await rig.connect(request("pay")[:40])
         response = asyncio.create_task(reader.read())
@@ -304,10 +304,10 @@
 
     The pause is longer than the idle timeout.
     """
-    async with Rig(Party("s1")) as rig:
+    async with Rig(ScriptedServer("s1")) as rig:
         sent = request("pay")
         reader, writer = await rig.connect(sent[:40])
-        assert await rig.ready()  # by now the proxy has read the half
+        assert await rig.is_ready()  # by now the proxy has read the half
         rig.proxy.send_signal(signal.SIGSTOP)
         writer.write(sent[40:])
         await asyncio.sleep(2.5)
