--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -1,4 +1,4 @@
-"""The rules of the service and the guarantees of the protocol, tested on sockets."""
+"""End-to-end tests over sockets: final responses, retries, draining, slow start, HTTP forwarding."""
 
 from __future__ import annotations
 
@@ -14,100 +14,101 @@
 CHUNKED = b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-async def dead() -> ScriptedServer:
-    """Return an endpoint that refuses connections."""
-    scripted_server = ScriptedServer("dead")
-    await scripted_server.start()
-    scripted_server.server.close()
-    await scripted_server.server.wait_closed()
-    scripted_server.start = lambda: asyncio.sleep(0)
-    return scripted_server
+async def start_refusing_endpoint() -> ScriptedServer:
+    """Return an endpoint whose port is closed, so that it refuses connections."""
+    endpoint = ScriptedServer("refusing")
+    await endpoint.start()
+    endpoint.server.close()
+    await endpoint.server.wait_closed()
+    endpoint.start = lambda: asyncio.sleep(0)
+    return endpoint
 
 
-# ---- rule 1: one final response, in time -----------------------------------------------------------------
+# ---- one final response, in time ------------------------------------------------------------------------
 
 
 @real
-@pytest.mark.parametrize(("cls", "statuses"), [("pay", (502, 504)), ("put", (502, 504)), ("look", (503,))])
-async def test_request_at_a_silent_endpoint_has_a_response_at_its_deadline(
-    cls: str, statuses: tuple[int, ...]
+@pytest.mark.parametrize(
+    ("class_name", "statuses"), [("pay", (502, 504)), ("put", (502, 504)), ("look", (503,))]
+)
+async def test_request_to_a_silent_endpoint_gets_a_response_at_its_deadline(
+    class_name: str, statuses: tuple[int, ...]
 ) -> None:
     async with Rig(ScriptedServer("s1", None)) as rig:
         started = time.monotonic()
-        status, _, _ = await rig.get_response(cls, deadline_ms=600)
-        assert status in statuses  # 503 would state that it has not run
+        status, _, _ = await rig.get_response(class_name, deadline_ms=600)
+        assert status in statuses  # a 503 to `pay` or `put` would state that it has not run
         assert time.monotonic() - started >= 0.55
         assert len(rig.endpoints[0].received_requests) == 1
 
 
 @real
-async def test_late_response_of_a_hung_endpoint_is_not_given_to_another_request() -> None:
-    """Its response to an expired request must not reach the next request that is forwarded to it."""
-    wake = asyncio.Event()
+async def test_late_response_of_a_hung_endpoint_is_not_sent_to_another_client() -> None:
+    """The late response must not be taken for the response to the next request on that connection."""
+    release = asyncio.Event()
 
-    async def hang_once(scripted_server: ScriptedServer) -> bytes:
-        name = scripted_server.received_requests[-1][1]["x-request-id"].encode()
-        if len(scripted_server.received_requests) == 1:
-            await wake.wait()
-        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(name), name)
+    async def hang_on_first_request(endpoint: ScriptedServer) -> bytes:
+        request_id = endpoint.received_requests[-1][1]["x-request-id"].encode()
+        if len(endpoint.received_requests) == 1:
+            await release.wait()
+        return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(request_id), request_id)
 
-    async with Rig(ScriptedServer("s1", hang_once)) as rig:
+    async with Rig(ScriptedServer("s1", hang_on_first_request)) as rig:
         assert (await rig.get_response("pay", deadline_ms=300, X_Request_Id="r-1"))[0] == 504
-        wake.set()
+        release.set()
         responses = [await rig.get_response("pay", X_Request_Id=f"r-{n}") for n in range(2, 6)]
         assert [(status, body) for status, _, body in responses] == [(200, b"r-%d" % n) for n in range(2, 6)]
-        assert rig.endpoints[0].accepted_connections >= 2  # its first connection was closed with the request
+        assert rig.endpoints[0].accepted_connections >= 2  # the connection of the expired request was closed
 
 
 @real
-async def test_after_a_pause_expired_requests_have_a_response_and_new_ones_are_served() -> None:
+async def test_expired_requests_time_out_and_new_ones_are_served_after_the_proxy_was_stopped() -> None:
     async with Rig(ScriptedServer("s1", None), ScriptedServer("s2")) as rig:
         expiring = asyncio.create_task(rig.get_response("pay", deadline_ms=1000))
         while not rig.endpoints[0].received_requests:
-            if expiring.done():  # it was forwarded to the other endpoint
+            if expiring.done():  # the other endpoint has served it
                 expiring = asyncio.create_task(rig.get_response("pay", deadline_ms=1000))
             await asyncio.sleep(0.005)
         rig.proxy.send_signal(signal.SIGSTOP)
-        received_in_pause = [
+        sent_while_stopped = [
             asyncio.create_task(rig.get_response("look", deadline_ms=20000)) for _ in range(4)
         ]
         await asyncio.sleep(3.0)
         rig.proxy.send_signal(signal.SIGCONT)
         assert (await expiring)[0] == 504
-        assert {(await response)[0] for response in received_in_pause} == {200}
+        assert {(await response)[0] for response in sent_while_stopped} == {200}
 
 
 @real
-async def test_uses_all_of_a_thousand_endpoints_of_unknown_zones_types_and_groups() -> None:
-    """1,024 endpoints at 8 addresses; first in a complete list, then in a list of changes."""
-    scripted_servers = [ScriptedServer(f"m{n}") for n in range(8)]
+async def test_uses_a_thousand_endpoints_of_unknown_zones_types_and_groups() -> None:
+    """8 servers act as 1,024 endpoints, which come in a complete list; then an update drains those of 7."""
+    servers = [ScriptedServer(f"m{n}") for n in range(8)]
 
-    def entries(status: str = "ready", share: int = 8) -> list[dict]:
+    def entries(status: str = "ready", server_count: int = 8) -> list[dict]:
         return [
-            scripted_servers[n % 8].entry(
+            servers[n % 8].entry(
                 name=f"s{n}", zone=f"z{n % 41}", type=f"t{n % 19}", group=n // 5, status=status
             )
             for n in range(1024)
-            if n % 8 < share
+            if n % 8 < server_count
         ]
 
-    async with Rig(*scripted_servers) as rig:
+    async with Rig(*servers) as rig:
         rig.queue_list(*entries(), index=5, snapshot=True)
         await rig.wait_for_calls(2)
         assert {(await rig.get_response("pay"))[0] for _ in range(600)} == {200}
-        assert (
-            sum(p.accepted_connections for p in scripted_servers) > 550
-        )  # each request used another endpoint than those before
+        # Nearly every request used an endpoint that had no connection yet.
+        assert sum(server.accepted_connections for server in servers) > 550
         rig.queue_list(*entries("draining", 7), index=6)
         await rig.wait_for_calls(3)
-        before = [len(p.received_requests) for p in scripted_servers]
+        counts_before = [len(server.received_requests) for server in servers]
         assert {(await rig.get_response("pay"))[0] for _ in range(50)} == {200}
-        assert [len(p.received_requests) for p in scripted_servers[:7]] == before[:7]
+        assert [len(server.received_requests) for server in servers[:7]] == counts_before[:7]
 
 
 @real
-async def test_rejects_at_once_without_endpoints() -> None:
-    """Without Retry-After too, as the settings do not allow it."""
+async def test_rejects_immediately_without_endpoints() -> None:
+    """The rejection has no Retry-After header, as the settings do not enable it."""
     async with Rig() as rig:
         started = time.monotonic()
         status, headers, _ = await rig.get_response("look", deadline_ms=20000)
@@ -116,7 +117,7 @@
 
 
 @real
-async def test_rejection_has_retry_after_where_the_settings_allow_it() -> None:
+async def test_rejection_has_retry_after_if_the_settings_enable_it() -> None:
     bounds = {"bounds": {"retry_after": True, "max_retry_after_ms": 250.0}}
     async with Rig(settings=bounds) as rig:
         status, headers, _ = await rig.get_response("pay", deadline_ms=20000)
@@ -140,11 +141,11 @@
 async def test_sigterm_completes_pending_requests_and_exits_with_zero() -> None:
     release = asyncio.Event()
 
-    async def respond_late(scripted_server: ScriptedServer) -> bytes:
+    async def respond_when_released(endpoint: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    async with Rig(ScriptedServer("s1", respond_late)) as rig:
+    async with Rig(ScriptedServer("s1", respond_when_released)) as rig:
         first = asyncio.create_task(rig.get_response("pay"))
         while not rig.endpoints[0].received_requests:
             await asyncio.sleep(0.005)
@@ -158,7 +159,7 @@
         assert await rig.proxy.wait() == 0
 
 
-# ---- rule 2: nothing runs twice, and no rejection of what may have run -----------------------------------
+# ---- no request is executed twice, or rejected after it may have run ------------------------------------
 
 
 @real
@@ -166,16 +167,16 @@
     ("reply", "statuses", "attempts"),
     [
         (OK, (200,), 1),
-        (b"", (502,), 1),  # ended after the last byte: it may have run
+        (b"", (502,), 1),  # connection closed after the request was received: it may have run
         (ERROR, (502,), 1),
-        (BARE_503, (502,), 1),  # only the endpoint's own statement proves that it has not run
+        (BARE_503, (502,), 1),  # only X-Not-Run proves that the request has not run
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\nConnection: close\r\n\r\nhalf", (502,), 1),
         (b"\x00\xffrubbish, not HTTP\r\n\r\nConnection: close", (502,), 1),
-        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone", (200,), 1),  # complete as the stream ends
+        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone", (200,), 1),  # complete at the end of the stream
         (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 70000, (502,), 1),
         (CHUNKED + b"4\r\nhalf\r\n", (502,), 1),  # the end of the stream does not complete a chunked body
         (b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\nConnection: close\r\n\r\n" + b"x" * 70000, (502,), 1),
-        (NOT_RUN, (503,), 2),  # it never ran: a retry elsewhere, then a rejection
+        (NOT_RUN, (503,), 2),  # it has not run: retried elsewhere, then rejected
     ],
 )
 async def test_non_idempotent_request_is_not_retried_after_it_may_have_run(
@@ -191,13 +192,13 @@
 
 @real
 async def test_retries_non_idempotent_request_after_connection_refused() -> None:
-    async with Rig(await dead(), ScriptedServer("s2"), ScriptedServer("s3")) as rig:
+    async with Rig(await start_refusing_endpoint(), ScriptedServer("s2"), ScriptedServer("s3")) as rig:
         assert [(await rig.get_response("pay"))[0] for _ in range(6)] == [200] * 6
 
 
 @real
-async def test_retry_of_keyed_request_stays_in_its_deduplication_group() -> None:
-    """`a` ends its connections without a response; only endpoints of its group may get the retry."""
+async def test_retry_with_an_idempotency_key_stays_in_its_deduplication_group() -> None:
+    """`a` and `c` close connections without a response; only their own groups may get the retries."""
     endpoints = [
         ScriptedServer("a", b"", group=1),
         ScriptedServer("b", group=1),
@@ -209,10 +210,10 @@
             key = f"k{number}"
             await rig.get_response("put", Idempotency_Key=key)
             groups = {
-                e.entry_changes["group"]
-                for e in endpoints
-                for got in e.received_requests
-                if got[1]["idempotency-key"] == key
+                endpoint.entry_changes["group"]
+                for endpoint in endpoints
+                for received in endpoint.received_requests
+                if received[1]["idempotency-key"] == key
             }
             assert len(groups) == 1
         assert endpoints[1].received_requests or endpoints[3].received_requests
@@ -222,11 +223,11 @@
 async def test_rejects_duplicate_request_id() -> None:
     release = asyncio.Event()
 
-    async def respond_late(scripted_server: ScriptedServer) -> bytes:
+    async def respond_when_released(endpoint: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    async with Rig(ScriptedServer("s1", respond_late)) as rig:
+    async with Rig(ScriptedServer("s1", respond_when_released)) as rig:
         first = asyncio.create_task(rig.get_response("pay", X_Request_Id="r-1"))
         while not rig.endpoints[0].received_requests:
             await asyncio.sleep(0.005)
@@ -236,25 +237,25 @@
         assert (await rig.get_response("look", X_Request_Id="r-1"))[0] == 200  # no longer pending
 
 
-# ---- rule 3: draining endpoints --------------------------------------------------------------------------
+# ---- draining endpoints and updates of the endpoint list ------------------------------------------------
 
 
 @real
 @pytest.mark.parametrize("state", ["draining", "gone", "missing"])
-async def test_forwards_nothing_to_a_draining_endpoint(state: str) -> None:
+async def test_forwards_nothing_to_a_draining_gone_or_unlisted_endpoint(state: str) -> None:
     async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         await asyncio.gather(*(rig.get_response() for _ in range(8)))
-        one, two = rig.endpoints
-        assert one.received_requests and two.received_requests
+        drained, remaining = rig.endpoints
+        assert drained.received_requests and remaining.received_requests
         await rig.wait_for_calls(1)
         if state == "missing":
-            rig.queue_list(two.entry(), snapshot=True)
+            rig.queue_list(remaining.entry(), snapshot=True)
         else:
-            rig.queue_list(one.entry(status=state))
-        await rig.wait_for_calls(2)  # it polls again, so it has read the update
-        before = len(one.received_requests)
+            rig.queue_list(drained.entry(status=state))
+        await rig.wait_for_calls(2)  # it calls discovery again only after it has read the update
+        count_before = len(drained.received_requests)
         assert [(await rig.get_response())[0] for _ in range(6)] == [200] * 6
-        assert len(one.received_requests) == before
+        assert len(drained.received_requests) == count_before
 
 
 @real
@@ -262,16 +263,16 @@
     "failure",
     [b'HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\n{"index":"what"', BARE_503, b"", b"rubbish\r\n\r\n"],
 )
-async def test_watch_continues_at_once_and_a_failed_call_keeps_the_old_list(failure: bytes) -> None:
+async def test_watch_is_renewed_immediately_and_a_failed_call_keeps_the_old_list(failure: bytes) -> None:
     async with Rig(ScriptedServer("s1")) as rig:
-        gaps = []
+        renewal_delays_s = []
         for index in range(5, 8):
             await rig.wait_for_calls(index - 4)
             rig.queue_list(rig.endpoints[0].entry(), index=index)
-            sent_s = time.monotonic()
+            queued_s = time.monotonic()
             await rig.wait_for_calls(index - 3)
-            gaps.append(rig.discovery_call_times_s[-1] - sent_s)
-        assert min(gaps) < 0.2  # the best: a busy system must not change the verdict
+            renewal_delays_s.append(rig.discovery_call_times_s[-1] - queued_s)
+        assert min(renewal_delays_s) < 0.2  # the minimum, so that a busy machine does not fail the test
         assert b"since=7&" in rig.discovery.received_requests[-1][0]
         rig.queue_response(failure)
         await rig.wait_for_calls(5)  # after the backoff of a failed call
@@ -292,23 +293,22 @@
     endpoint.server.close()
 
 
-# ---- rule 4: slow start of a new endpoint ----------------------------------------------------------------
+# ---- slow start -----------------------------------------------------------------------------------------
 
 
 @real
 async def test_endpoint_in_slow_start_gets_fewer_requests() -> None:
-    # The warm-up factor alone leaves it a fifth, whatever speed is measured for either endpoint.
+    # The warm-up factor alone limits the new endpoint to a fifth, whatever latency is measured for either.
     rules = SETTINGS["rules"] | {"cold_from": 0.1, "cold_ms": 200_000.0}
-    starting, started = ScriptedServer("s1", since_ms=time.time() * 1000.0), ScriptedServer("s2")
-    async with Rig(starting, started, settings={"rules": rules}) as rig:
-        while (
-            len(started.received_requests) < 30
-        ):  # on a busy system some are rejected, which does not matter here
+    new, established = ScriptedServer("s1", since_ms=time.time() * 1000.0), ScriptedServer("s2")
+    async with Rig(new, established, settings={"rules": rules}) as rig:
+        # Some are rejected on a busy machine, which does not matter here.
+        while len(established.received_requests) < 30:
             await rig.get_response()
-        assert len(starting.received_requests) < len(started.received_requests) / 2
+        assert len(new.received_requests) < len(established.received_requests) / 2
 
 
-# ---- the protocol ------------------------------------------------------------------------------------
+# ---- HTTP and connections -------------------------------------------------------------------------------
 
 
 @real
@@ -317,8 +317,8 @@
         sent = request("put", 5000, b"\x00body", X_Request_Id="r-77", Connection="keep-alive")
         status, headers, body = await rig.send_raw(sent)
         assert (status, body) == (200, b"done") and "connection" not in headers
-        line, headers_received, body_received = rig.endpoints[0].received_requests[0]
-        assert (line, body_received) == (b"POST /put/7f3a?x=1 HTTP/1.1", b"\x00body")
+        request_line, headers_received, body_received = rig.endpoints[0].received_requests[0]
+        assert (request_line, body_received) == (b"POST /put/7f3a?x=1 HTTP/1.1", b"\x00body")
         assert (headers_received["x-request-id"], headers_received["idempotency-key"]) == ("r-77", "k1")
         assert 0 < int(headers_received["x-deadline-ms"]) <= 5000
         assert "connection" not in headers_received
@@ -331,12 +331,12 @@
         for _ in range(3):
             writer.write(request())
             assert (await reader.readuntil(b"done")).startswith(b"HTTP/1.1 200")
-            await asyncio.sleep(0.02)  # the upstream connection becomes idle
+            await asyncio.sleep(0.02)  # until the upstream connection is idle
         assert rig.endpoints[0].accepted_connections == 1
 
 
 @real
-async def test_endpoint_that_closes_connections_costs_no_request() -> None:
+async def test_loses_no_request_if_the_endpoint_closes_its_connections() -> None:
     async with Rig(
         ScriptedServer("s1", OK[:-4].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") + b"done")
     ) as rig:
@@ -348,21 +348,20 @@
 async def test_closes_idle_upstream_connection_before_the_endpoint_would() -> None:
     async with Rig(ScriptedServer("s1"), settings={"bounds": {"conn_idle_ms": 1000.0}}) as rig:
         assert (await rig.get_response("pay"))[0] == 200
-        await rig.endpoints[0].peer_closed.wait()  # the endpoint itself closes nothing
+        await rig.endpoints[0].peer_closed.wait()  # the endpoint does not close connections itself
         assert (await rig.get_response("pay"))[0] == 200
         assert rig.endpoints[0].accepted_connections == 2
 
 
 @real
 async def test_connect_timeout_leads_to_a_retry_elsewhere() -> None:
-    full = socket.create_server(
-        ("127.0.0.1", 0), backlog=0
-    )  # once its accept queue is full, it accepts no more
+    # Once its accept queue is full, attempts to connect to it get no response.
+    full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
     fillers = [socket.socket() for _ in range(8)]
     for filler in fillers:
         filler.setblocking(False)
-        filler.connect_ex(full.getsockname())
-    address = f"127.0.0.1:{full.getsockname()[1]}"
+        filler.connect_ex(full_listener.getsockname())
+    address = f"127.0.0.1:{full_listener.getsockname()[1]}"
     async with Rig(
         ScriptedServer("s1", address=address),
         ScriptedServer("s2"),
@@ -370,12 +369,12 @@
     ) as rig:
         assert [(await rig.get_response("pay"))[0] for _ in range(4)] == [200] * 4
         assert rig.endpoints[0].received_requests == []
-    for sock in (full, *fillers):
+    for sock in (full_listener, *fillers):
         sock.close()
 
 
 @real
-async def test_invalid_input_has_an_error_response_and_is_not_forwarded() -> None:
+async def test_invalid_input_gets_an_error_response_and_is_not_forwarded() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         assert (await rig.send_raw(b"not HTTP at all\r\n\r\n"))[0] == 400
         assert (await rig.send_raw(b"GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n"))[0] == 404
