--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""The whole program on real sockets: client connections, descriptor limits, reload and graceful shutdown."""
+"""End-to-end tests over sockets: client connections, descriptor limits, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 import pytest
 from rig import OK, TEST_TIMEOUT_S, Rig, ScriptedServer, read_message, real, request
 
-# The rig allows the proxy 256 sockets; this many of them are for clients.
+# The client side's part of the 256 sockets that the rig allows the proxy.
 CLIENT_CONNECTION_LIMIT = 124
 
 
 @real
 async def test_idle_clients_are_closed_before_descriptors_run_out() -> None:
-    """More clients come than the proxy may have sockets, and each is served."""
+    """More clients connect than the proxy may have sockets, and stay connected; each is served."""
     async with Rig(ScriptedServer("s1")) as rig:
         open_writers = []
         for _ in range(300):
@@ -30,8 +30,8 @@
 
 
 @real
-async def test_client_beyond_the_descriptor_limit_gets_503_also_during_shutdown() -> None:
-    """Each of 220 clients sends a request to which no endpoint responds."""
+async def test_clients_over_the_descriptor_limit_get_503_also_during_shutdown() -> None:
+    """220 clients each send a request to an endpoint that never responds."""
     async with Rig(ScriptedServer("s1", None)) as rig:
         clients = []
         for _ in range(220):
@@ -43,12 +43,14 @@
         rejected = [task.result()[0] for task in responses if task.done()]
         assert all(b" 503 " in line for line in rejected)
         rig.proxy.send_signal(signal.SIGTERM)
-        while True:  # until the listening socket is closed: a response or no connection, never a reset
+        # Until the listening socket is closed, each connection gets a response; none is reset.
+        while True:
             try:
                 status, _, _ = await rig.send_raw(request("pay", 60000))
             except ConnectionRefusedError:
                 break
-            assert status in (503, 504)  # 504: it took the place of the client that polls for readiness
+            # 504: accepted on the descriptor that the connection of the rig's readiness check had used.
+            assert status in (503, 504)
         await asyncio.gather(*responses)
         assert all(task.result()[0].split()[1] in (b"503", b"504") for task in responses)
         assert await rig.proxy.wait() == 0
@@ -69,10 +71,10 @@
 
 @real
 async def test_graceful_shutdown_loses_no_request_of_busy_clients() -> None:
-    """A connection may end between requests, but only after a response with `Connection: close`."""
+    """Connections may be closed between requests, but only after a response with `Connection: close`."""
 
     async def send_requests(rig: Rig, connection_headers: list[str]) -> None:
-        for _ in range(4):  # the first connection, and some that are opened while the proxy drains
+        for _ in range(4):  # the first connection is opened before the proxy drains, the others meanwhile
             reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
             connection_header = ""
             while connection_header != "close":
@@ -95,30 +97,30 @@
 
 
 @real
-async def test_reload_switches_to_the_new_discovery_from_its_complete_list_and_loses_no_request() -> None:
+async def test_reload_switches_to_the_complete_list_of_the_new_discovery_and_loses_no_request() -> None:
     release = asyncio.Event()
 
-    async def respond_when_released(scripted_server: ScriptedServer) -> bytes:
+    async def respond_when_released(endpoint: ScriptedServer) -> bytes:
         await release.wait()
         return OK
 
-    def list_once(scripted_server: ScriptedServer) -> bytes | None:
-        return None if len(scripted_server.received_requests) > 1 else complete_list
+    def respond_with_list_once(server: ScriptedServer) -> bytes | None:
+        return None if len(server.received_requests) > 1 else complete_list
 
     async with Rig(ScriptedServer("s1", respond_when_released), ScriptedServer("s2")) as rig:
         old, new = rig.endpoints
-        new_discovery = ScriptedServer("discovery-2", list_once)
-        body = json.dumps({"index": 0, "snapshot": True, "endpoints": [new.entry()]}).encode()
-        complete_list = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+        new_discovery = ScriptedServer("discovery-2", respond_with_list_once)
+        list_body = json.dumps({"index": 0, "snapshot": True, "endpoints": [new.entry()]}).encode()
+        complete_list = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(list_body), list_body)
         await new_discovery.start()
         await rig.wait_for_calls(1)
-        while not old.received_requests:  # until a request is out at the old endpoint
+        while not old.received_requests:  # until the old endpoint has received a request
             pending = asyncio.create_task(rig.get_response(deadline_ms=20000))
             while not (old.received_requests or pending.done()):
                 await asyncio.sleep(0.005)
-        for unusable in ("{", json.dumps(rig.config | {"discovery": "nowhere"})):
-            rig.reload(unusable)
-            assert await rig.is_ready()  # the old configuration stays in force
+        for invalid_config in ("{", json.dumps(rig.config | {"discovery": "nowhere"})):
+            rig.reload(invalid_config)
+            assert await rig.is_ready()  # still responds, with the old configuration
             assert len(rig.discovery_call_times_s) == 1
         started = time.monotonic()
         rig.reload(json.dumps(rig.config | {"discovery": f"127.0.0.1:{new_discovery.port}"}))
@@ -128,7 +130,7 @@
         targets = [line.split()[1][:22] for line, _, _ in new_discovery.received_requests]
         assert targets == [b"/v1/endpoints", b"/v1/endpoints?since=0&"]
         assert [(await rig.get_response())[0] for _ in range(6)] == [200] * 6
-        assert len(old.received_requests) == 1  # no longer listed
+        assert len(old.received_requests) == 1  # it is not in the new list
         release.set()
         assert (await pending)[0] == 200
         rig.proxy.send_signal(signal.SIGTERM)
@@ -142,24 +144,23 @@
     [b"", b"POST /pay/1", request("pay", body=b"abc")[:-1], request() + b"GET /"],
     ids=["nothing", "part-of-a-head", "part-of-a-body", "part-of-a-second-head"],
 )
-async def test_client_without_a_complete_request_is_closed_soon_though_it_keeps_sending(sent: bytes) -> None:
+async def test_client_without_a_complete_request_times_out_even_if_it_keeps_sending(sent: bytes) -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         started = time.monotonic()
         writer.write(sent)
         received = asyncio.create_task(reader.read(-1))
         while not received.done():
-            if sent and not sent.endswith(b"b"):
+            if sent and not sent.endswith(b"b"):  # a further byte would complete the partial body
                 writer.write(b"x")
             await asyncio.sleep(0.1)
-        assert (
-            1.0 < time.monotonic() - started < TEST_TIMEOUT_S / 4
-        )  # 3 s is intended; a slow host needs more
+        # It should take no more than 3 s; a slow machine needs longer.
+        assert 1.0 < time.monotonic() - started < TEST_TIMEOUT_S / 4
         assert not sent or b"HTTP/1.1 408" in received.result()
 
 
 @real
-async def test_flood_of_silent_connections_leaves_the_connections_of_active_clients_open() -> None:
+async def test_flood_of_silent_connections_does_not_close_those_of_active_clients() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         silent = []
@@ -172,7 +173,7 @@
 
 
 @real
-async def test_clients_that_stay_idle_after_one_request_do_not_keep_others_out() -> None:
+async def test_clients_that_stay_idle_after_one_request_do_not_lock_out_others() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         open_writers = []
         announced_closes = 0
@@ -190,7 +191,7 @@
 
 
 @real
-async def test_invalid_request_ends_its_connection_and_what_follows_is_not_read() -> None:
+async def test_invalid_request_ends_its_connection_and_further_input_is_not_processed() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
         writer.write(request("look").replace(b"/look/", b"/lock/") + request())
@@ -200,8 +201,8 @@
 
 
 @real
-async def test_memory_of_closed_connections_is_freed_soon() -> None:
-    """Reference cycles of asyncio and the parser must be collected soon, not after minutes."""
+async def test_memory_of_closed_connections_is_freed_promptly() -> None:
+    """Guards against reference cycles of asyncio and the parser that are collected only after minutes."""
 
     def resident_kb(rig: Rig) -> int:
         lines = Path(f"/proc/{rig.proxy.pid}/status").read_text().splitlines()
@@ -213,4 +214,5 @@
             for _ in range(300):
                 assert (await rig.get_response())[0] == 200
             samples_kb.append(resident_kb(rig))
-        assert samples_kb[-1] - samples_kb[0] < 1200  # 900 more connections; about 2 KB each if not freed
+        # Between these samples are 900 connections, which take about 2 KB each until freed.
+        assert samples_kb[-1] - samples_kb[0] < 1200
