--- a/tests/test_race_rows.py
+++ b/tests/test_race_rows.py
@@ -1,10 +1,10 @@
-"""Further rows of docs/races.md: two events in a forced order, on sockets.
+"""Further tests of races between two events, over sockets and in a forced order, for rows of docs/races.md.
 
 One row has no test: the end of a connection behind more bytes than our system buffers. A client sends 75,000
-bytes and closes; our socket receives 16 KiB and closes its receive window, so the FIN stays in the client's
-kernel behind bytes that it may not send. No packet has notified our system of the close: no read, poll or
-TCP_INFO here differs from that of a client that is still connected. A test could only assert that there is no
-difference.
+bytes and closes the connection. Our socket receives 16 KiB and closes its receive window, so the FIN stays in
+the client's kernel, behind bytes that it may not send yet. No packet has notified our system of the close:
+read, poll and TCP_INFO show the same as for a client that is still connected. A test could only assert that
+there is no difference.
 """
 
 from __future__ import annotations
@@ -30,15 +30,16 @@
 
 CHUNK_BYTES = 4096
 SMALL_BUFFER_BYTES = 4096
-PIPELINED = 150
-TCP_ESTABLISHED, TCP_SYN_SENT = "01", "02"  # as /proc/net/tcp has them
+PIPELINED_REQUESTS = 150
+TCP_ESTABLISHED, TCP_SYN_SENT = "01", "02"  # connection states in /proc/net/tcp
 SEND_BUFFER_LIMIT_BYTES = 1 << 20
-# What may lie between the sending client and the reading proxy: both sockets' buffers and both streams'.
-IN_FLIGHT_BYTES = 160 * 1024
+# The most bytes that the client may have sent before the proxy reads them: the buffers of both sockets and
+# of both streams.
+MAX_IN_FLIGHT_BYTES = 160 * 1024
 LAST_REQUEST = b"GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-async def open_with_small_buffers(port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def connect_with_small_buffers(port: int) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     client = socket.socket()
     client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     client.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
@@ -48,13 +49,13 @@
 
 
 @real
-async def test_a_lingering_close_ends_after_256_kib(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The client has its last response and continues to send. No timeout of the proxy can end it first."""
+async def test_lingering_close_ends_after_256_kib(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The client continues to send after its last response; the timeouts are too long to end this first."""
     monkeypatch.setattr(lingering_close, "LINGER_TIMEOUT_S", 3600.0)
     monkeypatch.setattr(lingering_close, "UNREAD_RESPONSE_TIMEOUT_S", 3600.0)
     monkeypatch.setattr(connection_table, "IDLE_TIMEOUT_S", 3600.0)
     proxy = InProcessListener(100)
-    reader, writer = await open_with_small_buffers(proxy.port)
+    reader, writer = await connect_with_small_buffers(proxy.port)
     writer.write(LAST_REQUEST)
     await read_message(reader)
     assert await reader.read() == b""
@@ -65,13 +66,15 @@
             sent_bytes += CHUNK_BYTES
             await writer.drain()
     assert (
-        lingering_close.LINGER_LIMIT_BYTES < sent_bytes < lingering_close.LINGER_LIMIT_BYTES + IN_FLIGHT_BYTES
+        lingering_close.LINGER_LIMIT_BYTES
+        < sent_bytes
+        < lingering_close.LINGER_LIMIT_BYTES + MAX_IN_FLIGHT_BYTES
     )
     await proxy.close()
 
 
-def statuses_of(stream: bytes) -> list[bytes]:
-    """Return the statuses of the responses in a stream, each of which has to be complete."""
+def parse_statuses(stream: bytes) -> list[bytes]:
+    """Return the statuses of the responses in a stream, and assert that each response is complete."""
     statuses = []
     while stream:
         head, _, stream = stream.partition(b"\r\n\r\n")
@@ -84,11 +87,10 @@
 
 @real
 async def test_responses_that_are_still_being_sent_delay_the_exit() -> None:
-    """A client has not read more responses than the kernel buffers.
+    """One client leaves more responses unread than the kernel buffers, and begins to read during shutdown.
 
-    It begins to read once the proxy has no more pending requests, when another client's request at a silent
-    endpoint has timed out. Each response that has begun arrives complete, and the connection ends without a
-    reset.
+    It begins once another client's request to a silent endpoint has timed out and nothing is pending. Each
+    response that the proxy has begun to send must arrive complete, and the connection must not be reset.
     """
     body = b"x" * 65000
     response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
@@ -98,24 +100,24 @@
 
     classes = [SETTINGS["classes"][0], SETTINGS["classes"][1] | {"deadline_ms": 300.0}]
     async with Rig(ScriptedServer("s1", reply), settings={"classes": classes}) as rig:
-        slow_reader, slow_writer = await open_with_small_buffers(rig.port)
-        slow_writer.write(request("pay", 60000) * PIPELINED)
+        slow_reader, slow_writer = await connect_with_small_buffers(rig.port)
+        slow_writer.write(request("pay", 60000) * PIPELINED_REQUESTS)
         while len(rig.endpoints[0].received_requests) < 2:
             await asyncio.sleep(0.005)
-        silent_reader, silent_writer = await rig.connect(request("look", 60000))
-        while not any(got[0].startswith(b"GET") for got in rig.endpoints[0].received_requests):
+        timed_out_reader, timed_out_writer = await rig.connect(request("look", 60000))
+        while not any(received[0].startswith(b"GET") for received in rig.endpoints[0].received_requests):
             await asyncio.sleep(0.005)
         rig.proxy.send_signal(signal.SIGTERM)
-        assert b" 504 " in (await read_message(silent_reader))[0]
-        silent_writer.close()
-        statuses = statuses_of(await slow_reader.read())
+        assert b" 504 " in (await read_message(timed_out_reader))[0]
+        timed_out_writer.close()
+        statuses = parse_statuses(await slow_reader.read())
         assert statuses.count(b"200") * len(body) > SEND_BUFFER_LIMIT_BYTES
         slow_writer.close()
         assert await rig.proxy.wait() == 0
 
 
-class AcceptingExchange:
-    """What UpstreamPool needs of an exchange: each attempt may be written, and its end is recorded."""
+class StubExchange:
+    """Stub of the exchange for UpstreamPool: allows every attempt to be written, and records how it ended."""
 
     def __init__(self) -> None:
         self.statuses: list[AttemptStatus] = []
@@ -130,41 +132,41 @@
         self.statuses.append(status)
 
 
-def open_connections_to(*ports: int) -> int:
-    """Count the client sockets that are being connected or are open, as the kernel lists them."""
+def count_connections_to(*ports: int) -> int:
+    """Count the client sockets connecting or connected to these ports, as /proc/net/tcp lists them."""
     states = []
     for line in Path("/proc/net/tcp").read_text().splitlines()[1:]:
-        _, _, remote, state, *_ = line.split()
-        if int(remote.rpartition(":")[2], 16) in ports:
+        _, _, remote_address, state, *_ = line.split()
+        if int(remote_address.rpartition(":")[2], 16) in ports:
             states.append(state)
     return sum(state in (TCP_ESTABLISHED, TCP_SYN_SENT) for state in states)
 
 
 @real
-@pytest.mark.skipif(not Path("/proc/net/tcp").exists(), reason="counts sockets as Linux lists them")
-async def test_dials_that_evict_idle_connections_stay_within_the_budget(
+@pytest.mark.skipif(not Path("/proc/net/tcp").exists(), reason="counts sockets in /proc/net/tcp")
+async def test_new_connections_that_evict_idle_ones_stay_within_the_budget(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Idle connections to one endpoint use up the budget as attempts for another one come in.
+    """Idle connections to one endpoint use up the budget; then attempts arrive for another endpoint.
 
-    All of these come in one iteration of the event loop. The sockets are counted at each dial, before it
-    opens its own.
+    All these attempts arrive in one iteration of the event loop. Each connect counts the open sockets before
+    it opens its own.
     """
     limit = 8
     old, new = ScriptedServer("s1"), ScriptedServer("s2")
     await old.start()
     await new.start()
-    exchange = AcceptingExchange()
+    exchange = StubExchange()
     settings = Settings(
         classes=[RequestClass("look", latency_objective_ms=400.0, deadline_ms=1000.0)],
-        connect_timeout_ms=TEST_TIMEOUT_S * 1000.0,  # a busy machine must not change the verdict
+        connect_timeout_ms=TEST_TIMEOUT_S * 1000.0,  # long, so that a busy machine does not fail the test
     )
     pool = UpstreamPool(exchange, settings, DescriptorBudget(limit))
-    open_at_dial: list[int] = []
+    open_before_connect: list[int] = []
     connect = pool_module.connect
 
     async def counting_connect(host: str, port: int) -> tuple:
-        open_at_dial.append(open_connections_to(old.port, new.port))
+        open_before_connect.append(count_connections_to(old.port, new.port))
         return await connect(host, port)
 
     monkeypatch.setattr(pool_module, "connect", counting_connect)
@@ -175,16 +177,16 @@
                 number, 0, endpoint.name.encode(), "127.0.0.1", endpoint.port, payload, 0.0, 0.0
             )
             pool.dispatch(attempt)
-        expected = len(exchange.statuses) + limit
-        while len(exchange.statuses) < expected:
+        expected_count = len(exchange.statuses) + limit
+        while len(exchange.statuses) < expected_count:
             await asyncio.sleep(0.001)
     assert exchange.statuses == [AttemptStatus.OK] * (2 * limit)
-    assert (old.accepted_connections, new.accepted_connections, len(open_at_dial)) == (
+    assert (old.accepted_connections, new.accepted_connections, len(open_before_connect)) == (
         limit,
         limit,
         2 * limit,
     )
-    assert max(open_at_dial) < limit
+    assert max(open_before_connect) < limit
     pool.close_idle(b"s2")
     old.server.close()
     new.server.close()
