--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -11,7 +11,7 @@
 from rig import BARE_503, NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, real, request
 
 ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
-CHUNKED = b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 async def start_refusing_endpoint() -> ScriptedServer:
@@ -81,7 +81,7 @@
 
 @real
 async def test_uses_a_thousand_endpoints_of_unknown_zones_types_and_groups() -> None:
-    """8 servers act as 1,024 endpoints, which come in a complete list; then an update drains those of 7."""
+    """8 servers act as the 1,024 endpoints of a complete list; then an update drains those of 7 servers."""
     servers = [ScriptedServer(f"m{n}") for n in range(8)]
 
     def entries(status: str = "ready", server_count: int = 8) -> list[dict]:
@@ -174,7 +174,7 @@
         (b"\x00\xffrubbish, not HTTP\r\n\r\nConnection: close", (502,), 1),
         (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\ndone", (200,), 1),  # complete at the end of the stream
         (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b"x" * 70000, (502,), 1),
-        (CHUNKED + b"4\r\nhalf\r\n", (502,), 1),  # the end of the stream does not complete a chunked body
+        (CHUNKED_HEAD + b"4\r\nhalf\r\n", (502,), 1),  # not completed by the end of the stream
         (b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\nConnection: close\r\n\r\n" + b"x" * 70000, (502,), 1),
         (NOT_RUN, (503,), 2),  # it has not run: retried elsewhere, then rejected
     ],
@@ -241,14 +241,14 @@
 
 
 @real
-@pytest.mark.parametrize("state", ["draining", "gone", "missing"])
+@pytest.mark.parametrize("state", ["draining", "gone", "unlisted"])
 async def test_forwards_nothing_to_a_draining_gone_or_unlisted_endpoint(state: str) -> None:
     async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         await asyncio.gather(*(rig.get_response() for _ in range(8)))
         drained, remaining = rig.endpoints
         assert drained.received_requests and remaining.received_requests
         await rig.wait_for_calls(1)
-        if state == "missing":
+        if state == "unlisted":
             rig.queue_list(remaining.entry(), snapshot=True)
         else:
             rig.queue_list(drained.entry(status=state))
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -14,7 +14,7 @@
 import pytest
 from rig import NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, read_message, real, request, wait_for_target
 
-NO_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
 
 def close_with_reset(writer: asyncio.StreamWriter) -> None:
@@ -124,7 +124,7 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         received.append(await read_message(reader))
-        writer.write(NO_LENGTH + b"half")
+        writer.write(HEAD_WITHOUT_LENGTH + b"half")
         await writer.drain()
         if len(received) == 1:
             await asyncio.sleep(0.1)  # by then the proxy has received the body so far
@@ -156,7 +156,7 @@
 
     async def respond_endlessly(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await read_message(reader)
-        writer.write(NO_LENGTH)
+        writer.write(HEAD_WITHOUT_LENGTH)
         try:
             while True:
                 writer.write(b"x" * chunk_bytes)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -11,7 +11,7 @@
 import pytest
 from rig import OK, TEST_TIMEOUT_S, Rig, ScriptedServer, read_message, real, request
 
-# The client side's part of the 256 sockets that the rig allows the proxy.
+# How many of the 256 sockets that the rig allows the proxy are for client connections.
 CLIENT_CONNECTION_LIMIT = 124
 
 
@@ -31,7 +31,7 @@
 
 @real
 async def test_clients_over_the_descriptor_limit_get_503_also_during_shutdown() -> None:
-    """220 clients each send a request to an endpoint that never responds."""
+    """220 clients each send a request to an endpoint that never responds; those over the limit get a 503."""
     async with Rig(ScriptedServer("s1", None)) as rig:
         clients = []
         for _ in range(220):
