--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -18,7 +18,7 @@
 
 
 def close_with_reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection by a reset (RST) in place of a FIN."""
+    """Close a connection with a reset (RST) instead of a FIN."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
@@ -230,7 +230,7 @@
 async def test_idle_timeout_closes_without_a_reset_and_discards_a_simultaneous_request() -> None:
     """After 2.1 s without a request the proxy closes the connection, by a lingering close.
 
-    A request sent at that moment is not forwarded. Its client sees the end of the stream in place of a reset,
+    A request sent at that moment is not forwarded. Its client sees the end of the stream instead of a reset,
     and may send the request again.
     """
     async with Rig(ScriptedServer("s1")) as rig:
