--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -205,8 +205,8 @@
 ) -> int:
     """Send requests and return how many attempts failed.
 
-    Class and tenant of each are drawn at random, from `kind_count` each. The failing endpoints end each attempt with the status after 1 ms;
-    the others respond after 40 ms.
+    The class and the tenant of each are drawn at random from the first `kind_count`. The failing endpoints
+    end each attempt with the status after 1 ms; the others respond after 40 ms.
     """
     random = Random(driver.cfg.instance_number)
     failures = 0
