--- a/tests/test_random_histories.py
+++ b/tests/test_random_histories.py
@@ -1,8 +1,10 @@
-"""Random histories: every request taken has exactly one conclusion, whatever the order of events.
+"""Random histories: every accepted request is concluded exactly once, in any order of events.
+
+It is concluded by its final response, or when its client disconnects.
 
 A history mixes requests, client disconnects, responses, endpoint lists and the graceful shutdown. The
-listener, the exchange and the balancer are the real ones, and clients are real connections. In place of the
-endpoints there is a list of running attempts, which the history ends at random.
+listener, the exchange and the balancer are the real ones, and clients are real connections. The endpoints are
+replaced by a list of running attempts, which the history ends at random.
 """
 
 from __future__ import annotations
@@ -31,7 +33,7 @@
 MIN_RESPONSES_PER_TEST = 500
 ENDPOINT_COUNT = 3
 MAX_OUTSTANDING_PER_CLIENT = 2
-SETTLE_ROUNDS = 6
+SETTLE_ITERATIONS = 6  # of the event loop
 DRAIN_POLL_INTERVAL_S = 0.001
 OUTCOMES = (
     AttemptStatus.OK,
@@ -45,7 +47,7 @@
 
 
 class ScriptedUpstream:
-    """The endpoints and discovery; keeps the running attempts."""
+    """Stands in for the endpoints and discovery: attempts run until the history ends them."""
 
     def __init__(self) -> None:
         self.running: list[Attempt] = []
@@ -71,7 +73,7 @@
         self.reader = reader
         self.writer = writer
         self.sent_ids: list[str] = []
-        self.unsent_rest = b""  # of a request that was sent in part
+        self.unsent_bytes = b""  # of a request that was sent in part
         self.unsent_id = ""
         self.responses: list[tuple[int, str]] = []  # status and body
         self.has_disconnected = False
@@ -119,16 +121,16 @@
         self.is_accepting = True
         self.port = 0
 
-    async def play(self) -> None:
-        """Play all steps, with the three of the shutdown among them, until all connections are closed."""
+    async def run(self) -> None:
+        """Run all random steps with a graceful shutdown in between; wait until all connections are closed."""
         self.listener.bind("127.0.0.1", 0)
         self.listener.start_accepting()
         self.port = self.listener._socket.getsockname()[1]
-        shutdown_steps = self.draw_shutdown_steps()
+        shutdown_calls = self.draw_shutdown_calls()
         for step in range(STEPS_PER_HISTORY):
-            if step in shutdown_steps:
-                shutdown_steps[step]()
-            await self.play_step()
+            if step in shutdown_calls:
+                shutdown_calls[step]()
+            await self.run_random_step()
             if self.random.random() < 0.7:
                 await self.settle()
         while self.listener.open_count:
@@ -136,14 +138,14 @@
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await asyncio.gather(*self.tasks)
 
-    def draw_shutdown_steps(self) -> dict[int, Callable[[], None]]:
-        """Return the parts of a graceful shutdown, in their order, by the steps before which they come."""
+    def draw_shutdown_calls(self) -> dict[int, Callable[[], None]]:
+        """Return the three calls of a graceful shutdown, by the number of the step that each precedes."""
         steps = sorted(self.random.sample(range(FIRST_SHUTDOWN_STEP, STEPS_PER_HISTORY), 3))
-        parts = (self.listener.start_draining, self.stop_accepting, self.exchange.fail_pending)
-        return dict(zip(steps, parts, strict=True))
+        calls = (self.listener.start_draining, self.stop_accepting, self.exchange.fail_pending)
+        return dict(zip(steps, calls, strict=True))
 
-    async def play_step(self) -> None:
-        act = self.random.choice(
+    async def run_random_step(self) -> None:
+        perform_step = self.random.choice(
             (
                 self.connect,
                 self.send_request,
@@ -154,16 +156,16 @@
             )
         )
         if self.random.random() < 0.9:
-            await act()
+            await perform_step()
         else:
             self.update_endpoint_list()
 
     async def settle(self) -> None:
-        """Let the event loop deliver what is under way."""
-        for _ in range(SETTLE_ROUNDS):
+        """Let the event loop process the input and output that is pending."""
+        for _ in range(SETTLE_ITERATIONS):
             await asyncio.sleep(0)
 
-    # ---- what may happen -------------------------------------------------------------------------
+    # ---- random steps ----------------------------------------------------------------------------
 
     def stop_accepting(self) -> None:
         self.is_accepting = False
@@ -176,24 +178,24 @@
             self.tasks.append(asyncio.create_task(client.read_responses()))
 
     async def send_request(self) -> None:
-        """Send a request completely, or the rest of one that was sent in part."""
+        """Send a complete request, or the rest of one that was sent in part."""
         client = await self.choose_client()
         if client is None:
             return
-        if not client.unsent_rest:
+        if not client.unsent_bytes:
             self.compose_request(client)
-        client.writer.write(client.unsent_rest)
+        client.writer.write(client.unsent_bytes)
         client.sent_ids.append(client.unsent_id)
-        client.unsent_rest = b""
+        client.unsent_bytes = b""
 
     async def send_part_of_request(self) -> None:
         client = await self.choose_client()
-        if client is None or client.unsent_rest:
+        if client is None or client.unsent_bytes:
             return
         self.compose_request(client)
-        length = self.random.randint(1, len(client.unsent_rest) - 1)
-        client.writer.write(client.unsent_rest[:length])
-        client.unsent_rest = client.unsent_rest[length:]
+        length = self.random.randint(1, len(client.unsent_bytes) - 1)
+        client.writer.write(client.unsent_bytes[:length])
+        client.unsent_bytes = client.unsent_bytes[length:]
 
     async def disconnect_client(self) -> None:
         if self.clients and self.random.random() < 0.3:
@@ -218,7 +220,8 @@
         )
 
     async def choose_client(self) -> ClientModel | None:
-        await self.settle()  # a client whose connection the proxy has closed knows it, and sends no more
+        # Clients notice connections that the proxy has closed, and send nothing more on them.
+        await self.settle()
         clients = [client for client in self.clients if client.may_send]
         return self.random.choice(clients) if clients else None
 
@@ -226,7 +229,7 @@
         client.unsent_id = f"r{self.random.getrandbits(40)}"
         time_left_ms = self.random.choice((20, 20000, 20000))
         request_class = self.random.choice(("look", "pay", "put"))
-        client.unsent_rest = request(request_class, time_left_ms, X_Request_Id=client.unsent_id)
+        client.unsent_bytes = request(request_class, time_left_ms, X_Request_Id=client.unsent_id)
 
 
 def endpoint_list(availabilities: list[Availability]) -> EndpointList:
@@ -237,16 +240,17 @@
     return EndpointList(1, True, endpoints)
 
 
-async def play_history(seed: int) -> History:
+async def run_history(seed: int) -> History:
     history = History(seed)
-    await asyncio.wait_for(history.play(), TEST_TIMEOUT_S)
+    await asyncio.wait_for(history.run(), TEST_TIMEOUT_S)
     return history
 
 
 def check_client(client: ClientModel, seed: int) -> int:
     """Assert that each request has its own response, in order; return how many responses there are."""
     responses = client.responses
-    if client.unsent_rest and responses and responses[-1][0] == 408:  # for the request that is incomplete
+    # The last response may be a 408 to a request that was sent only in part.
+    if client.unsent_bytes and responses and responses[-1][0] == 408:
         responses = responses[:-1]
     assert len(responses) == len(client.sent_ids), seed
     for (status, body), request_id in zip(responses, client.sent_ids, strict=True):
@@ -256,22 +260,22 @@
 
 
 def check_exchange(history: History, seed: int) -> None:
-    """Assert that each request has one conclusion, and that nothing of it is left."""
+    """Assert that each request was concluded once, and that none is left in the exchange."""
     counts = history.exchange.counts
     conclusions = counts.served + counts.rejected + counts.failed + counts.disconnected
     assert counts.accepted == conclusions, seed
     assert history.exchange.pending_count == 0, seed
-    # Where hedging is allowed, the balancer cancels what it no longer needs.
+    # If hedging is allowed, the balancer cancels the attempts that it no longer needs.
     assert not history.is_hedging_allowed or not history.upstream.running, seed
 
 
 @pytest.mark.parametrize("first_seed", range(0, 4 * HISTORIES_PER_TEST, HISTORIES_PER_TEST))
-def test_every_request_has_exactly_one_conclusion_whatever_the_order(first_seed: int) -> None:
+def test_every_request_is_concluded_exactly_once_in_any_order_of_events(first_seed: int) -> None:
     response_count = 0
     for seed in range(first_seed, first_seed + HISTORIES_PER_TEST):
-        history = asyncio.run(play_history(seed))
+        history = asyncio.run(run_history(seed))
         for client in history.clients:
             if not client.has_disconnected:
                 response_count += check_client(client, seed)
         check_exchange(history, seed)
-    assert response_count > MIN_RESPONSES_PER_TEST  # the histories are not empty
+    assert response_count > MIN_RESPONSES_PER_TEST  # histories without responses would prove nothing
