--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -226,7 +226,8 @@
     def end_attempt(self, request_id: int, number: int, attempt: list) -> None:
         """End an attempt with a random status; a time-out before the deadline is put off until then."""
         is_overdue = request_id in self.pending and self.now >= self.pending[request_id][1]
-        # Phases of 700 ms: all attempts succeed; any status but TIMEOUT; all time out. Overdue ones always do.
+        # Phases of 700 ms: all attempts succeed; any status but TIMEOUT; all time out.
+        # Overdue attempts time out in each phase.
         phase = (self.now // 700.0) % 3
         status = self.random.choice([[1], [0, 1, 2, 4, 5, 6, 7], [3]][int(phase)])
         if status == Status.TIMEOUT and not is_overdue and request_id in self.pending:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -77,6 +77,7 @@
 
 @st.composite
 def scenarios(draw: st.DrawFn) -> dict:
+    """Draw the arguments of a Fleet, and its faults: functions with severity and duration."""
     return {
         "seed": draw(st.integers(0, 10**6)),
         "load": draw(st.sampled_from([0.6, 1.1, 1.4, 2.0])),
