--- a/tests/rig.py
+++ b/tests/rig.py
@@ -11,6 +11,7 @@
 import os
 import shutil
 import signal
+import socket
 import sys
 import tempfile
 import time
@@ -22,6 +23,7 @@
 TEST_TIMEOUT_S = 30.0  # generous, so that no test fails only because the system is slow
 SETTINGS = {
     "bounds": {"cancel": True, "may_duplicate": False, "max_attempts": 5, "conn_idle_ms": 10000.0},
+    # `look` is idempotent, `pay` is not, and requests of `put` carry an idempotency key.
     "classes": [
         {"name": "look", "slo_ms": 400.0, "deadline_ms": 1000.0, "effect": "free"},
         {"name": "pay", "slo_ms": 400.0, "deadline_ms": 1000.0, "effect": "single_shot"},
@@ -115,6 +117,18 @@
         await asyncio.sleep(0.005)
 
 
+def reserve_port() -> socket.socket:
+    """Return a socket that is bound to a free loopback port and does not listen.
+
+    While it is open, the system assigns the port to no other program. The proxy can listen on the port
+    nevertheless, as both sockets set SO_REUSEADDR.
+    """
+    reservation = socket.socket()
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reservation.bind(("127.0.0.1", 0))
+    return reservation
+
+
 class Rig:
     """Discovery, endpoints and one proxy, started and stopped together as an async context manager.
 
@@ -171,10 +185,8 @@
     async def __aenter__(self) -> Rig:
         for scripted_server in (self.discovery, *self.endpoints):
             await scripted_server.start()
-        # Bound and closed again, to find a free port for the proxy.
-        placeholder = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
-        self.port = placeholder.sockets[0].getsockname()[1]
-        placeholder.close()
+        self._port_reservation = reserve_port()
+        self.port = self._port_reservation.getsockname()[1]
         self.config = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
@@ -217,6 +229,7 @@
         if self.proxy.returncode is None:
             self.proxy.kill()
             await self.proxy.wait()
+        self._port_reservation.close()
         shutil.rmtree(self.file.parent)
         for scripted_server in (self.discovery, *self.endpoints):
             scripted_server.server.close()
