--- a/alderspool/balancer/schedule.py
+++ b/alderspool/balancer/schedule.py
@@ -6,7 +6,7 @@
 MIN_ELAPSED_MS = 1e-3
 MAX_ELAPSED_MS = 1000.0  # a longer time between two refreshes counts as this long
 FIRST_POLL_BACKOFF_MS = 1000.0  # doubles with each further failure
-# Every drain counts as notified 6 s after it was made, even if discovery was unreachable: poll again sooner.
+# An update counts as notified 6 s after it was made, even if discovery was unreachable: poll again sooner.
 MAX_POLL_BACKOFF_MS = 4000.0
 MAX_LOG_LINES = 60  # in the lifetime of an instance
 
--- a/alderspool/routing/exchange.py
+++ b/alderspool/routing/exchange.py
@@ -131,8 +131,8 @@
     def is_pending(self, client_request_id: bytes) -> bool:
         """Return whether a request with this client-assigned id is pending or has running attempts.
 
-        A second request with the same id could not be told apart from the first: endpoints would treat it as
-        a duplicate, and a response to one could be taken for a response to the other.
+        A second request with the same id could not be distinguished from the first: endpoints would treat it
+        as a duplicate, and a response to one could be taken for a response to the other.
         """
         return self._pending_requests.has_client_request_id(client_request_id)
 
--- a/alderspool/transport/discovery.py
+++ b/alderspool/transport/discovery.py
@@ -72,7 +72,7 @@
             self._timeouts.initial_backoff_s, self._timeouts.max_backoff_s, Random(seed)
         )
         self._uses_local_agent = not settings.list_on_request
-        # The protocol treats the proxy as informed of the local agent's list from startup on, so the
+        # The protocol treats the proxy as notified of the local agent's list from startup on, so the
         # configured list may be outdated and the agent's complete list is requested first. Without an agent,
         # discovery is polled for changes since the configured list.
         self._state = WatchState.FULL_LIST_NEEDED if self._uses_local_agent else WatchState.NOT_WATCHING
--- a/alderspool/transport/discovery_agent_poll.py
+++ b/alderspool/transport/discovery_agent_poll.py
@@ -1,7 +1,7 @@
 """Polling of a local discovery agent that has stopped responding.
 
 An agent on the same host responds immediately, or not at all while discovery is down. When discovery is back,
-the protocol treats the proxy as informed of the agent's updates immediately, so the recovery must be noticed
+the protocol treats the proxy as notified of the agent's updates immediately, so the recovery must be noticed
 quickly. Polls of a local agent are cheap: an unresponsive agent is polled again after a short interval while
 earlier polls are still outstanding, so that an agent that is merely slow can respond to one of those.
 """
--- a/alderspool/transport/discovery_timeouts.py
+++ b/alderspool/transport/discovery_timeouts.py
@@ -7,9 +7,9 @@
 
 from alderspool.balancer.settings import Settings
 
-# The discovery protocol treats the proxy as informed of an update this long after the update was made,
+# The protocol treats the proxy as notified of an update this long after the update was made,
 # whether or not it was received.
-UPDATE_PRESUMED_KNOWN_AFTER_S = 6.0
+UPDATE_NOTIFIED_AFTER_S = 6.0
 
 # Shares of that time, which must suffice in this case: a watch stalls right after its call was sent, and
 # discovery rejects the first call after that, up to 3 s after it was made. The wait and grace of the watch,
@@ -38,7 +38,7 @@
     def from_settings(cls, settings: Settings) -> DiscoveryTimeouts:
         """Divide the configured maximum age of the list, or the protocol's 6 s if that is less."""
         max_age_s = (settings.list_max_age_ms or inf) / 1000.0
-        total_s = min(UPDATE_PRESUMED_KNOWN_AFTER_S, max_age_s)
+        total_s = min(UPDATE_NOTIFIED_AFTER_S, max_age_s)
         return cls(
             watch_wait_s=WATCH_WAIT_SHARE * total_s,
             watch_grace_s=WATCH_GRACE_SHARE * total_s,
--- a/alderspool/transport/discovery_watch.py
+++ b/alderspool/transport/discovery_watch.py
@@ -71,7 +71,7 @@
     (WatchState.NOT_WATCHING, WatchEvent.FULL_LIST_REQUESTED): _FULL_LIST_NEEDED,
     (WatchState.WATCHING, WatchEvent.LIST_RECEIVED): _WATCHING,
     # The watch has stalled. The next call is made immediately, so that an update missed meanwhile is received
-    # before the protocol treats the proxy as informed of it.
+    # before the protocol treats the proxy as notified of it.
     (WatchState.WATCHING, WatchEvent.CALL_TIMED_OUT): Transition(WatchState.NOT_WATCHING),
     # The watch was lost, probably by all proxies at the same moment: the backoff keeps them from reconnecting
     # all at once.
--- a/alderspool/transport/upstream_pool.py
+++ b/alderspool/transport/upstream_pool.py
@@ -194,7 +194,7 @@
         if response is None:
             return True
         if self._is_duplicate(connection, response):
-            # The attempt's own response may or may not still arrive; the two cases cannot be told apart.
+            # The attempt's own response may or may not still arrive; the two cases cannot be distinguished.
             self._retire(connection, attempt, AttemptStatus.RESET)
             return False
         outcome = read_outcome(response)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -43,7 +43,7 @@
 NOT_RUN = b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
-def real(test):
+def async_test(test):
     """Decorate a coroutine test: run it in an event loop of its own, and fail it if it hangs."""
 
     @functools.wraps(test)
--- a/tests/test_accept_queue.py
+++ b/tests/test_accept_queue.py
@@ -17,7 +17,7 @@
 from types import SimpleNamespace
 
 import pytest
-from rig import NOT_RUN, OK, Rig, ScriptedServer, read_message, real, request
+from rig import NOT_RUN, OK, Rig, ScriptedServer, async_test, read_message, request
 from test_exchange import SEND, set_up_parts
 
 from alderspool.balancer.actions import Send
@@ -102,7 +102,7 @@
             await asyncio.sleep(0)
 
 
-@real
+@async_test
 async def test_evicts_connections_in_the_order_of_their_classes() -> None:
     """Opens two connections of each kind, interleaved, and evicts one at a time.
 
@@ -147,7 +147,7 @@
         return get(connection)
 
 
-@real
+@async_test
 async def test_eviction_cost_does_not_depend_on_the_number_of_open_connections(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -194,7 +194,7 @@
     return reader, writer, sent_s
 
 
-@real
+@async_test
 @pytest.mark.skipif(arrival.TCP_INFO_OPTION is None, reason="the system has no TCP_INFO")
 async def test_time_in_accept_queue_is_subtracted_from_deadline_of_every_attempt() -> None:
     """Both endpoints reject; no attempt's X-Deadline-Ms exceeds the time left to the client."""
@@ -209,7 +209,7 @@
             assert sent_deadline_ms <= 3000.0 - (at_s - sent_s) * 1000.0 + CLOCK_TICK_MS
 
 
-@real
+@async_test
 @pytest.mark.skipif(arrival.TCP_INFO_OPTION is None, reason="the system has no TCP_INFO")
 async def test_rejects_at_once_a_request_that_waited_in_accept_queue_beyond_its_deadline() -> None:
     endpoint = Endpoint("s1", OK)
@@ -220,7 +220,7 @@
         assert endpoint.attempts == []
 
 
-@real
+@async_test
 @pytest.mark.skipif(arrival.TCP_INFO_OPTION is None, reason="the system has no TCP_INFO")
 async def test_time_unread_on_keep_alive_connection_is_subtracted_from_deadline() -> None:
     endpoint = Endpoint("s1", OK)
@@ -237,7 +237,7 @@
         assert sent_deadline_ms <= 3000.0 - (at_s - sent_s) * 1000.0 + CLOCK_TICK_MS
 
 
-@real
+@async_test
 async def test_time_behind_pipelined_request_is_subtracted_from_deadline() -> None:
     """The client sends two requests in one write; the second is submitted after the first is answered."""
     release = asyncio.Event()
@@ -292,7 +292,7 @@
 # ---- how the exchange subtracts the wait ----------------------------
 
 
-@real
+@async_test
 async def test_rejects_expired_request_before_it_reaches_the_balancer() -> None:
     exchange, script, endpoints, responses = set_up_parts(SEND)
     events_before = len(script.events)
@@ -301,7 +301,7 @@
     assert (len(script.events), endpoints.sent) == (events_before, [])
 
 
-@real
+@async_test
 async def test_uncertain_wait_shortens_the_deadline_of_retries_only() -> None:
     retry = {Outcome: lambda event: [Send(event.id, b"s2")]}
     exchange, _, endpoints, responses = set_up_parts(SEND | retry)
@@ -408,7 +408,7 @@
     return proxy.submitted[-1].waited_ms, proxy.submitted[-1].longest_wait_ms
 
 
-@real
+@async_test
 async def test_queue_wait_bound_applies_only_to_bytes_that_arrived_before_the_accept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
--- a/tests/test_balancer_endpoint_list.py
+++ b/tests/test_balancer_endpoint_list.py
@@ -43,5 +43,5 @@
         driver.now += timer.delay_ms
         assert driver.timer(timer.token) == [Watch()]
     assert 500.0 <= backoffs_ms[0] <= 1000.0
-    # A drain counts as notified 6 s after it was made, so discovery must be polled again before that.
+    # An update counts as notified 6 s after it was made, so discovery must be polled again before that.
     assert backoffs_ms[0] < backoffs_ms[2] and max(backoffs_ms) <= 4000.0 < driver.cfg.list_max_age_ms
--- a/tests/test_balancer_rotation.py
+++ b/tests/test_balancer_rotation.py
@@ -20,7 +20,7 @@
 
 
 def test_combines_class_speeds_into_the_published_example_weights() -> None:
-    """Class shares 1/3 and 2/3, speeds 38/11/51 and 13/40/47: weights 21/30/49, no three picks in a row."""
+    """Class shares 1/3 and 2/3, speeds 38/11/51 and 13/40/47: weights 21/30/48, no three picks in a row."""
     driver = Driver([IDEMPOTENT, IDEMPOTENT])
     driver.set_endpoints(3)
     driver.serve(3)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,7 +10,7 @@
 from random import Random
 
 import pytest
-from rig import BARE_503, SETTINGS, Rig, ScriptedServer, real, wait_for_target
+from rig import BARE_503, SETTINGS, Rig, ScriptedServer, async_test, wait_for_target
 
 from alderspool.balancer.settings import RequestClass, Settings
 from alderspool.balancer.settings_reader import read_settings
@@ -29,14 +29,14 @@
 )
 
 LOCAL_AGENT = {"discovery": "pushed"}
-# The time after which an update is presumed known, in some tests: a third of the protocol's, to save time.
+# The time after which an update counts as notified, in some tests: a third of the protocol's, to save time.
 UPDATE_DEADLINE_S = 2.0
 PROXY_COUNT = 40
 BACKOFF_COUNT = 6
 
 
 def with_update_deadline(seconds: float) -> dict:
-    """Return settings in which an update is presumed known after this time."""
+    """Return settings in which an update counts as notified after this time."""
     return {"rules": SETTINGS["rules"] | {"ask_within_ms": 1000.0 * seconds}}
 
 
@@ -81,7 +81,7 @@
 # ---- a local agent ------------------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_list_of_a_slow_local_agent_is_known_before_the_first_client_is_admitted() -> None:
     """The configured list is outdated: it shows s1 as ready, but s1 is draining. The agent responds late."""
     async with Rig(
@@ -100,18 +100,18 @@
         assert targets[1].startswith(b"/v1/endpoints?since=7&timeout_ms=600")
 
 
-@real
+@async_test
 async def test_proxy_serves_although_the_local_agent_never_responds() -> None:
     async with Rig(ScriptedServer("s1"), settings=LOCAL_AGENT) as rig:
         assert (await rig.get_response())[0] == 200
 
 
-@real
+@async_test
 @pytest.mark.parametrize("delay_s", [0.0, 0.4], ids=["fast agent", "slow agent"])
 async def test_update_of_an_agent_that_responds_again_is_received_immediately(delay_s: float) -> None:
     """An agent that did not respond while discovery was down has an update as soon as it recovers.
 
-    The update is presumed known immediately. A call that the agent received just before its recovery gets no
+    The update counts as notified immediately. A call that the agent received just before its recovery gets no
     response, and the next call must not wait for it. A slow agent must not be given up either.
     """
     has_recovered = asyncio.Event()
@@ -143,7 +143,7 @@
 # ---- a stalled watch ----------------------------------------------------------------------------------
 
 
-@real
+@async_test
 @pytest.mark.parametrize("settings", [LOCAL_AGENT, {}], ids=["local agent", "polled discovery"])
 async def test_stalled_watch_is_reopened_immediately_and_catches_up(settings: dict) -> None:
     """Calls with a wait get no response.
@@ -179,7 +179,7 @@
         assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
 
 
-@real
+@async_test
 @pytest.mark.parametrize("failure", ["no response", "rejected", "garbage", "reset", "unknown status"])
 async def test_update_missed_by_a_stalled_watch_is_received_in_time_although_the_next_call_fails(
     failure: str,
@@ -187,7 +187,7 @@
     """The watch stalls as soon as it is opened, and the next call fails too.
 
     That call times out, fails immediately, or gets a response that is not a valid list. Discovery queues the
-    call after it for a long time. The draining status of s1 must be received before it is presumed known.
+    call after it for a long time. The draining status of s1 must be received before it counts as notified.
     """
     stalled_at: float | None = None
     calls_without_wait = 0
@@ -227,7 +227,7 @@
 # ---- revisions, and lists in unusual forms ---------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_older_revision_on_a_watch_leads_to_a_request_for_the_complete_list() -> None:
     """Discovery has lost its data and restarted its revision numbering, so revisions are not comparable."""
 
@@ -255,7 +255,7 @@
         assert (len(draining.received_requests), len(ready.received_requests)) == (0, 6)
 
 
-@real
+@async_test
 async def test_revisions_that_go_back_each_time_do_not_cause_a_busy_loop_of_calls() -> None:
     """Two inconsistent services respond in turn: complete lists have revision 40, updates revision 1."""
 
@@ -274,7 +274,7 @@
     inconsistent.server.close()
 
 
-@real
+@async_test
 async def test_indented_list_is_read() -> None:
     async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
         removed, ready = rig.endpoints
@@ -288,7 +288,7 @@
 # ---- failures -------------------------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_unexpected_errors_do_not_end_the_watch() -> None:
     """The exchange raises an unexpected error; the same update is requested again."""
     discovery = ScriptedServer("discovery", Rig.list_response(None, index=7))
@@ -305,7 +305,7 @@
     discovery.server.close()
 
 
-@real
+@async_test
 async def test_switch_to_a_discovery_that_resets_then_stalls_then_has_an_older_revision() -> None:
     """The old list stays valid until the new discovery service has sent its complete list.
 
@@ -340,7 +340,7 @@
     second_discovery.server.close()
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     ("is_switched", "longest_delays"),
     [
--- a/tests/test_exchange.py
+++ b/tests/test_exchange.py
@@ -8,7 +8,7 @@
 
 import pytest
 from loguru import logger
-from rig import SETTINGS, real
+from rig import SETTINGS, async_test
 
 from alderspool.balancer.actions import Action, Cancel, Fail, Log, Reject, Send
 from alderspool.balancer.events import (
@@ -165,7 +165,7 @@
 # ---- final responses -----------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_first_served_attempt_gives_the_final_response_and_later_outcomes_are_ignored() -> None:
     setup = set_up({Request: lambda event: [Send(event.id, b"s1"), Send(event.id, b"s2")]})
     setup.submit(client_request())
@@ -183,7 +183,7 @@
     assert setup.exchange.pending_count == 0
 
 
-@real
+@async_test
 async def test_second_conclusion_from_the_balancer_is_ignored() -> None:
     setup = set_up({Request: lambda event: [Reject(event.id, 250.0), Fail(event.id)]})
 
@@ -193,7 +193,7 @@
     assert (setup.exchange.counts.rejected, setup.exchange.counts.failed) == (1, 0)
 
 
-@real
+@async_test
 async def test_response_callback_that_raises_does_not_keep_the_outcome_from_the_balancer() -> None:
     setup = set_up(SEND)
     setup.exchange.submit(client_request(), lambda response: 1 / 0)
@@ -204,7 +204,7 @@
     assert setup.exchange.pending_count == 0
 
 
-@real
+@async_test
 async def test_client_request_id_stays_pending_until_the_last_attempt_has_ended() -> None:
     setup = set_up(SEND)
     request_id = setup.submit(client_request(client_request_id=b"r-1"))
@@ -218,7 +218,7 @@
     assert not setup.exchange.is_pending(b"r-1")
 
 
-@real
+@async_test
 async def test_rejects_requests_over_max_pending_without_the_balancer() -> None:
     setup = set_up(SEND, **{"bounds.max_open": "1"})
     setup.submit(client_request())
@@ -230,7 +230,7 @@
     assert len(setup.balancer.events) == events_before
 
 
-@real
+@async_test
 async def test_fail_pending_fails_all_pending_requests_and_rejects_later_ones() -> None:
     """One request has a running attempt, one is queued by the balancer, and one already has its response."""
     setup = set_up({Request: lambda event: [Send(event.id, b"s1")] if event.id != 2 else []})
@@ -251,7 +251,7 @@
     assert [type(event) for event in setup.balancer.events].count(ClientDisconnected) == 2
 
 
-@real
+@async_test
 async def test_counts_are_formatted_for_the_log() -> None:
     setup = set_up(SEND)
     setup.submit(client_request())
@@ -267,7 +267,7 @@
 # ---- deadlines -----------------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_silent_attempt_times_out_at_the_deadline_and_the_balancer_concludes_the_request() -> None:
     setup = set_up(SEND | {Outcome: lambda event: [Fail(event.id), Reject(event.id)]})
     setup.submit(client_request(time_left_ms=30.0))
@@ -279,7 +279,7 @@
     assert setup.balancer.last_outcome() == (AttemptStatus.TIMEOUT, False)
 
 
-@real
+@async_test
 async def test_attempt_that_times_out_before_it_is_written_ends_as_never_sent() -> None:
     setup = set_up({Request: lambda event: [Send(event.id, b"s1", timeout_ms=20.0)]})
     setup.upstream.is_connecting = True
@@ -295,7 +295,7 @@
     "script",
     [pytest.param({}, id="no_action"), pytest.param({Request: lambda event: 1 / 0}, id="balancer_raises")],
 )
-@real
+@async_test
 async def test_request_that_the_balancer_does_not_conclude_fails_after_its_deadline(script: Script) -> None:
     setup = set_up(script)
     setup.submit(client_request(time_left_ms=20.0))
@@ -309,7 +309,7 @@
 # ---- client disconnects --------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_client_disconnect_cancels_attempts_and_gives_no_response() -> None:
     setup = set_up(SEND | {ClientDisconnected: lambda event: [Cancel(event.id, 0)]})
 
@@ -342,7 +342,7 @@
     return setup
 
 
-@real
+@async_test
 async def test_draining_endpoint_gets_no_new_attempt_and_no_write_of_a_connecting_one() -> None:
     setup = set_up(SEND)
     setup.submit(client_request())
@@ -358,7 +358,7 @@
     assert setup.balancer.last_outcome() == (AttemptStatus.NEVER_SENT, False)
 
 
-@real
+@async_test
 async def test_attempt_is_not_written_to_an_address_that_its_endpoint_no_longer_has() -> None:
     setup = set_up_connecting_attempt()
     exchange, attempt = setup.exchange, setup.attempt
@@ -375,7 +375,7 @@
     assert exchange.may_write(attempt)
 
 
-@real
+@async_test
 async def test_attempt_whose_client_disconnected_while_connecting_is_not_written() -> None:
     setup = set_up_connecting_attempt()
     setup.has_client_disconnected = True
@@ -390,7 +390,7 @@
     assert not setup.responses
 
 
-@real
+@async_test
 async def test_retry_is_not_written_after_its_deduplication_window() -> None:
     setup = set_up_connecting_attempt()
 
@@ -410,7 +410,7 @@
         pytest.param("on_request", None, id="on_request"),
     ],
 )
-@real
+@async_test
 async def test_opens_the_watch_where_updates_are_pushed(mode: str, is_watching: bool | None) -> None:
     setup = set_up({}, discovery=mode)
 
@@ -425,7 +425,7 @@
     logger.remove(sink)
 
 
-@real
+@async_test
 async def test_log_shows_endpoint_names_instead_of_ids(log_lines: list[str]) -> None:
     setup = set_up({Request: lambda event: [Log(f"eject {b's1'.hex()}: 3 failures")]})
 
@@ -434,7 +434,7 @@
     assert log_lines == ["balancer: eject s1: 3 failures\n"]
 
 
-@real
+@async_test
 async def test_log_has_one_line_for_a_series_of_failed_discovery_calls(log_lines: list[str]) -> None:
     setup = set_up({})
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -14,7 +14,7 @@
 from enum import Enum
 
 import pytest
-from rig import SETTINGS, Rig, ScriptedServer, read_message, real, request
+from rig import SETTINGS, Rig, ScriptedServer, async_test, read_message, request
 
 from alderspool.balancer.settings import RequestClass, Settings
 from alderspool.program.graceful_shutdown import CHECK_INTERVAL_S, ShutdownBudget, shut_down
@@ -217,7 +217,7 @@
     return sent_at_s
 
 
-@real
+@async_test
 @pytest.mark.parametrize("longest_deadline_ms", [300.0, 2000.0, 20000.0])
 async def test_responds_before_the_earliest_sigkill_if_the_endpoint_hangs(longest_deadline_ms: float) -> None:
     """One request arrives before SIGTERM and one while connections are still accepted; the endpoint hangs.
@@ -241,7 +241,7 @@
         assert await rig.proxy.wait() == 0
 
 
-@real
+@async_test
 async def test_serves_connections_in_the_accept_queue_when_it_stops_accepting() -> None:
     """The proxy is paused by SIGSTOP until it is due to stop accepting.
 
@@ -262,7 +262,7 @@
         assert await rig.proxy.wait() == 0
 
 
-@real
+@async_test
 async def test_serves_pipelined_requests_before_their_connection_ends() -> None:
     release = asyncio.Event()
 
@@ -283,7 +283,7 @@
         assert await rig.proxy.wait() == 0
 
 
-@real
+@async_test
 async def test_incomplete_request_does_not_delay_the_shutdown_beyond_its_deadline() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         sent_at_s = await start_shutdown(rig)
@@ -298,7 +298,7 @@
         assert time.monotonic() - sent_at_s < 10.0
 
 
-@real
+@async_test
 async def test_reads_input_received_during_a_pause_before_applying_the_idle_timeout() -> None:
     """The proxy has read half a request; the rest arrives while SIGSTOP pauses the proxy.
 
--- a/tests/test_lab_emulator.py
+++ b/tests/test_lab_emulator.py
@@ -11,7 +11,7 @@
 
 import numpy as np
 import pytest
-from rig import NOT_RUN, read_message, real
+from rig import NOT_RUN, async_test, read_message
 
 from alderspool.lab.emulator.discovery import EmulatedDiscovery
 from alderspool.lab.emulator.endpoint import EmulatedEndpoint, EndpointIdentity, WorkDistribution
@@ -60,7 +60,7 @@
     return int(line.split()[1]), headers, body
 
 
-@real
+@async_test
 async def test_endpoint_responds_with_the_request_id_after_its_work() -> None:
     endpoint = make_endpoint(work=50.0)
     await endpoint.open()
@@ -81,7 +81,7 @@
     endpoint.kill()
 
 
-@real
+@async_test
 async def test_full_or_draining_endpoint_responds_with_the_not_run_header() -> None:
     endpoint = make_endpoint(work=5000.0, cores=1, max_running=1, max_queued=0)
     await endpoint.open()
@@ -104,7 +104,7 @@
     endpoint.kill()
 
 
-@real
+@async_test
 async def test_closed_connection_cancels_its_attempt() -> None:
     endpoint = make_endpoint(work=60_000.0, can_cancel_running=True)
     await endpoint.open()
@@ -119,7 +119,7 @@
     endpoint.kill()
 
 
-@real
+@async_test
 async def test_silent_endpoint_accepts_requests_and_never_responds() -> None:
     endpoint = make_endpoint(work=1.0)
     await endpoint.open()
@@ -135,7 +135,7 @@
     endpoint.kill()
 
 
-@real
+@async_test
 async def test_crash_resets_connections_and_restart_begins_slow_start_on_the_same_port() -> None:
     endpoint = make_endpoint(work=60_000.0, slow_start_ms=60_000.0)
     await endpoint.open()
@@ -156,7 +156,7 @@
     endpoint.kill()
 
 
-@real
+@async_test
 async def test_slow_endpoint_takes_three_times_as_long() -> None:
     endpoint = make_endpoint(work=60.0)
     await endpoint.open()
@@ -167,7 +167,7 @@
     endpoint.kill()
 
 
-@real
+@async_test
 async def test_duplicate_within_the_scope_gets_a_response_without_running() -> None:
     scope = DeduplicationScope()
     endpoints = [make_endpoint(scope, work=1.0), make_endpoint(scope, work=1.0)]
@@ -181,7 +181,7 @@
         endpoint.kill()
 
 
-@real
+@async_test
 async def test_discovery_sends_the_list_and_a_watch_waits_for_changes() -> None:
     discovery = EmulatedDiscovery(DiscoveryModel(UpdateDelays(ready_ms=0.0, draining_ms=0.0)))
     await discovery.open()
@@ -216,7 +216,7 @@
     return f"{method} /{cls}/1 HTTP/1.1\r\nHost: x\r\n{fields}\r\n".encode()
 
 
-@real
+@async_test
 async def test_fleet_serves_through_a_real_proxy_and_respects_draining() -> None:
     plan = FleetPlan(endpoints=3, faults=(Fault(0.0, FaultKind.DRAIN, 0, 0.6),))
     async with Fleet(plan) as fleet:
@@ -237,7 +237,7 @@
         assert await fleet.proxies[0].stop() == 0
 
 
-@real
+@async_test
 async def test_rejects_unknown_faults_before_any_fault_begins() -> None:
     fleet = Fleet(FleetPlan(endpoints=2, faults=(Fault(0.0, "flood", 0, 1.0),)))
     with pytest.raises(InputError, match="kinds are crash"):
--- a/tests/test_pending_requests.py
+++ b/tests/test_pending_requests.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from rig import real
+from rig import async_test
 
 from alderspool.routing.clock import Clock
 from alderspool.routing.messages import ClientRequest
@@ -47,7 +47,7 @@
     return pytest.mark.parametrize("state", FINAL_STATES, ids=lambda state: state.value)(test)
 
 
-@real
+@async_test
 async def test_added_request_awaits_its_response() -> None:
     setup = Setup()
 
@@ -69,7 +69,7 @@
         pytest.param(1000.0, 0.0, 0.0, id="no_upper_bound"),
     ],
 )
-@real
+@async_test
 async def test_earliest_deadline_is_before_the_deadline_by_the_uncertain_part_of_the_wait(
     waited_ms: float, longest_wait_ms: float, uncertain_ms: float
 ) -> None:
@@ -80,7 +80,7 @@
     assert pending.deadline - pending.earliest_deadline == pytest.approx(uncertain_ms)
 
 
-@real
+@async_test
 async def test_request_ids_start_at_1_and_wrap_around_to_1() -> None:
     setup = Setup()
     assert setup.add().id == 1
@@ -90,7 +90,7 @@
 
 
 @for_each_final_state
-@real
+@async_test
 async def test_request_is_concluded_once(state: PendingState) -> None:
     setup = Setup()
     pending = setup.add()
@@ -105,7 +105,7 @@
     assert pending.state is state
 
 
-@real
+@async_test
 async def test_request_without_conclusion_stays_in_the_table() -> None:
     setup = Setup()
     pending = setup.add()
@@ -115,7 +115,7 @@
     assert setup.table.get(pending.id) is pending
 
 
-@real
+@async_test
 async def test_concluded_request_stays_in_the_table_until_its_attempts_have_ended() -> None:
     setup = Setup()
     pending = setup.add()
@@ -135,12 +135,12 @@
     assert pending.timer.cancelled()
 
 
-@real
+@async_test
 async def test_unknown_request_counts_as_concluded() -> None:
     assert Setup().table.is_concluded(7)
 
 
-@real
+@async_test
 async def test_request_is_overdue_once_the_response_slack_after_its_deadline_has_passed() -> None:
     setup = Setup()
     pending = setup.add(time_left_ms=5.0)
@@ -154,7 +154,7 @@
     assert loop.time() - submitted_at >= RESPONSE_SLACK_MS / 1000.0
 
 
-@real
+@async_test
 async def test_request_that_is_concluded_by_its_deadline_is_not_overdue() -> None:
     setup = Setup()
     concluded = setup.add(time_left_ms=5.0)
@@ -168,7 +168,7 @@
     assert setup.overdue == [control]
 
 
-@real
+@async_test
 async def test_deadline_callback_is_not_called_for_a_removed_request() -> None:
     setup = Setup()
     removed = setup.add(time_left_ms=5.0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -8,7 +8,7 @@
 import time
 
 import pytest
-from rig import BARE_503, NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, real, request
+from rig import BARE_503, NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, async_test, request
 
 ERROR = b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"
 CHUNKED_HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -27,7 +27,7 @@
 # ---- one final response, in time ------------------------------------------------------------------------
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     ("class_name", "statuses"), [("pay", (502, 504)), ("put", (502, 504)), ("look", (503,))]
 )
@@ -42,7 +42,7 @@
         assert len(rig.endpoints[0].received_requests) == 1
 
 
-@real
+@async_test
 async def test_late_response_of_a_hung_endpoint_is_not_sent_to_another_client() -> None:
     """The late response must not be taken for the response to the next request on that connection."""
     release = asyncio.Event()
@@ -61,7 +61,7 @@
         assert rig.endpoints[0].accepted_connections >= 2  # the connection of the expired request was closed
 
 
-@real
+@async_test
 async def test_expired_requests_time_out_and_new_ones_are_served_after_the_proxy_was_stopped() -> None:
     async with Rig(ScriptedServer("s1", None), ScriptedServer("s2")) as rig:
         expiring = asyncio.create_task(rig.get_response("pay", deadline_ms=1000))
@@ -79,7 +79,7 @@
         assert {(await response)[0] for response in sent_while_stopped} == {200}
 
 
-@real
+@async_test
 async def test_uses_a_thousand_endpoints_of_unknown_zones_types_and_groups() -> None:
     """8 servers act as the 1,024 endpoints of a complete list; then an update drains those of 7 servers."""
     servers = [ScriptedServer(f"m{n}") for n in range(8)]
@@ -106,7 +106,7 @@
         assert [len(server.received_requests) for server in servers[:7]] == counts_before[:7]
 
 
-@real
+@async_test
 async def test_rejects_immediately_without_endpoints() -> None:
     """The rejection has no Retry-After header, as the settings do not enable it."""
     async with Rig() as rig:
@@ -116,7 +116,7 @@
         assert time.monotonic() - started < 10.0
 
 
-@real
+@async_test
 async def test_rejection_has_retry_after_if_the_settings_enable_it() -> None:
     bounds = {"bounds": {"retry_after": True, "max_retry_after_ms": 250.0}}
     async with Rig(settings=bounds) as rig:
@@ -124,7 +124,7 @@
         assert status == 503 and headers["retry-after"] == "0.250"
 
 
-@real
+@async_test
 async def test_client_disconnect_cancels_the_attempt() -> None:
     async with Rig(
         ScriptedServer("s1", None), settings={"bounds": {"cancel": True, "may_duplicate": True}}
@@ -137,7 +137,7 @@
         await asyncio.wait_for(rig.endpoints[0].peer_closed.wait(), 10.0)
 
 
-@real
+@async_test
 async def test_sigterm_completes_pending_requests_and_exits_with_zero() -> None:
     release = asyncio.Event()
 
@@ -162,7 +162,7 @@
 # ---- no request is executed twice, or rejected after it may have run ------------------------------------
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     ("reply", "statuses", "attempts"),
     [
@@ -190,13 +190,13 @@
         assert sent == 1 if attempts == 1 else sent >= 2
 
 
-@real
+@async_test
 async def test_retries_non_idempotent_request_after_connection_refused() -> None:
     async with Rig(await start_refusing_endpoint(), ScriptedServer("s2"), ScriptedServer("s3")) as rig:
         assert [(await rig.get_response("pay"))[0] for _ in range(6)] == [200] * 6
 
 
-@real
+@async_test
 async def test_retry_with_an_idempotency_key_stays_in_its_deduplication_group() -> None:
     """`a` and `c` close connections without a response; only their own groups may get the retries."""
     endpoints = [
@@ -219,7 +219,7 @@
         assert endpoints[1].received_requests or endpoints[3].received_requests
 
 
-@real
+@async_test
 async def test_rejects_duplicate_request_id() -> None:
     release = asyncio.Event()
 
@@ -240,7 +240,7 @@
 # ---- draining endpoints and updates of the endpoint list ------------------------------------------------
 
 
-@real
+@async_test
 @pytest.mark.parametrize("state", ["draining", "gone", "unlisted"])
 async def test_forwards_nothing_to_a_draining_gone_or_unlisted_endpoint(state: str) -> None:
     async with Rig(ScriptedServer("s1"), ScriptedServer("s2")) as rig:
@@ -258,7 +258,7 @@
         assert len(drained.received_requests) == count_before
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     "failure",
     [b'HTTP/1.1 200 OK\r\nContent-Length: 15\r\n\r\n{"index":"what"', BARE_503, b"", b"rubbish\r\n\r\n"],
@@ -280,7 +280,7 @@
         assert (await rig.get_response())[0] == 200
 
 
-@real
+@async_test
 async def test_is_ready_only_once_it_can_serve() -> None:
     endpoint = ScriptedServer("s1")
     await endpoint.start()
@@ -296,7 +296,7 @@
 # ---- slow start -----------------------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_endpoint_in_slow_start_gets_fewer_requests() -> None:
     # The warm-up factor alone limits the new endpoint to a fifth, whatever latency is measured for either.
     rules = SETTINGS["rules"] | {"cold_from": 0.1, "cold_ms": 200_000.0}
@@ -311,7 +311,7 @@
 # ---- HTTP and connections -------------------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_forwards_request_unchanged() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         sent = request("put", 5000, b"\x00body", X_Request_Id="r-77", Connection="keep-alive")
@@ -324,7 +324,7 @@
         assert "connection" not in headers_received
 
 
-@real
+@async_test
 async def test_reuses_connections_on_both_sides() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
@@ -335,7 +335,7 @@
         assert rig.endpoints[0].accepted_connections == 1
 
 
-@real
+@async_test
 async def test_loses_no_request_if_the_endpoint_closes_its_connections() -> None:
     async with Rig(
         ScriptedServer("s1", OK[:-4].replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n") + b"done")
@@ -344,7 +344,7 @@
         assert rig.endpoints[0].accepted_connections == 4
 
 
-@real
+@async_test
 async def test_closes_idle_upstream_connection_before_the_endpoint_would() -> None:
     async with Rig(ScriptedServer("s1"), settings={"bounds": {"conn_idle_ms": 1000.0}}) as rig:
         assert (await rig.get_response("pay"))[0] == 200
@@ -353,7 +353,7 @@
         assert rig.endpoints[0].accepted_connections == 2
 
 
-@real
+@async_test
 async def test_connect_timeout_leads_to_a_retry_elsewhere() -> None:
     # Once its accept queue is full, attempts to connect to it get no response.
     full_listener = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -373,7 +373,7 @@
         sock.close()
 
 
-@real
+@async_test
 async def test_invalid_input_gets_an_error_response_and_is_not_forwarded() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         assert (await rig.send_raw(b"not HTTP at all\r\n\r\n"))[0] == 400
--- a/tests/test_race_rows.py
+++ b/tests/test_race_rows.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 import pytest
-from rig import SETTINGS, TEST_TIMEOUT_S, Rig, ScriptedServer, read_message, real, request
+from rig import SETTINGS, TEST_TIMEOUT_S, Rig, ScriptedServer, async_test, read_message, request
 from test_accept_queue import InProcessListener
 
 from alderspool.balancer.events import AttemptStatus
@@ -48,7 +48,7 @@
     return await asyncio.open_connection(sock=client, limit=1024)
 
 
-@real
+@async_test
 async def test_lingering_close_ends_after_256_kib(monkeypatch: pytest.MonkeyPatch) -> None:
     """The client continues to send after its last response; the timeouts are too long to end this first."""
     monkeypatch.setattr(lingering_close, "LINGER_TIMEOUT_S", 3600.0)
@@ -85,7 +85,7 @@
     return statuses
 
 
-@real
+@async_test
 async def test_responses_that_are_still_being_sent_delay_the_exit() -> None:
     """One client leaves more responses unread than the kernel buffers, and begins to read during shutdown.
 
@@ -142,7 +142,7 @@
     return sum(state in (TCP_ESTABLISHED, TCP_SYN_SENT) for state in states)
 
 
-@real
+@async_test
 @pytest.mark.skipif(not Path("/proc/net/tcp").exists(), reason="counts sockets in /proc/net/tcp")
 async def test_new_connections_that_evict_idle_ones_stay_within_the_budget(
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 import pytest
-from rig import NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, read_message, real, request, wait_for_target
+from rig import NOT_RUN, OK, SETTINGS, Rig, ScriptedServer, async_test, read_message, request, wait_for_target
 
 HEAD_WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 
@@ -32,7 +32,7 @@
 # ---- client disconnects ---------------------------------------------------------------------------------
 
 
-@real
+@async_test
 @pytest.mark.parametrize("disconnect", ["close", "half-close", "reset"])
 @pytest.mark.parametrize("pipelined_bytes", [0, 40000])
 async def test_does_not_forward_a_request_if_the_client_disconnected_before_it_was_read(
@@ -63,7 +63,7 @@
         assert [received[0][:9] for received in rig.endpoints[0].received_requests] == [b"GET /look"] * 2
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     ("pipelined_requests", "disconnect"), [(1, asyncio.StreamWriter.close), (400, close_with_reset)]
 )
@@ -100,7 +100,7 @@
         )
 
 
-@real
+@async_test
 async def test_cancels_the_attempt_if_the_client_disconnects_after_sending_unread_input() -> None:
     """While further requests wait, the connection is not read; a periodic check detects the disconnect."""
     bounds = SETTINGS["bounds"] | {"may_duplicate": True}
@@ -115,7 +115,7 @@
 # ---- responses delimited by the end of the stream -------------------------------------------------------
 
 
-@real
+@async_test
 @pytest.mark.parametrize("class_name", ["pay", "look"])
 async def test_response_without_length_is_complete_at_end_of_stream_and_incomplete_after_reset(
     class_name: str,
@@ -150,7 +150,7 @@
         server.close()
 
 
-@real
+@async_test
 async def test_endless_response_is_limited_in_size_and_time() -> None:
     chunk_bytes = 1
 
@@ -183,7 +183,7 @@
 # ---- input while a connection closes --------------------------------------------------------------------
 
 
-@real
+@async_test
 async def test_input_during_lingering_close_is_discarded_without_a_reset() -> None:
     """After a request with `Connection: close`, the client sends more requests during the response.
 
@@ -209,7 +209,7 @@
         assert len(rig.endpoints[0].received_requests) == 5
 
 
-@real
+@async_test
 @pytest.mark.parametrize("version", [b"HTTP/1.1", b"HTTP/1.0"])
 async def test_pipelined_request_after_the_last_one_is_discarded(version: bytes) -> None:
     """A request with `Connection: close` is the last one on its connection.
@@ -226,7 +226,7 @@
         assert sum(received[0].startswith(b"POST") for received in rig.endpoints[0].received_requests) == 1
 
 
-@real
+@async_test
 async def test_idle_timeout_closes_without_a_reset_and_discards_a_simultaneous_request() -> None:
     """After 2.1 s without a request the proxy closes the connection, by a lingering close.
 
@@ -244,7 +244,7 @@
         assert sum(received[0].startswith(b"POST") for received in rig.endpoints[0].received_requests) == 1
 
 
-@real
+@async_test
 async def test_idle_clients_do_not_delay_the_exit() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         connections = [await rig.connect(request("pay")) for _ in range(5)]
@@ -285,7 +285,7 @@
         return statuses
 
 
-@real
+@async_test
 async def test_idle_clients_on_all_descriptors_block_no_list_update_attempt_or_reload() -> None:
     """300 idle clients compete for the 256 descriptors of the rig; each connects again once it is evicted.
 
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from rig import OK, SETTINGS, Rig, ScriptedServer, real, request
+from rig import OK, SETTINGS, Rig, ScriptedServer, async_test, request
 
 from alderspool.program.app import run
 from alderspool.program.config import load
@@ -26,7 +26,7 @@
     return json.dumps(rig.config | {"discovery": f"127.0.0.1:{discovery.port}"})
 
 
-@real
+@async_test
 async def test_sighup_while_loading_neither_ends_the_program_nor_is_lost() -> None:
     """SIGHUP is sent every few milliseconds from the start of the program until it serves.
 
@@ -48,7 +48,7 @@
     new_discovery.server.close()
 
 
-@real
+@async_test
 async def test_sigterm_while_loading_ends_the_program_before_it_accepts() -> None:
     async with Rig(ScriptedServer("s1"), await_ready=False) as rig:
         await rig.wait_until_started()
@@ -94,7 +94,7 @@
     assert accepting_listeners == []
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     "numbers",
     [
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -9,13 +9,13 @@
 from pathlib import Path
 
 import pytest
-from rig import OK, TEST_TIMEOUT_S, Rig, ScriptedServer, read_message, real, request
+from rig import OK, TEST_TIMEOUT_S, Rig, ScriptedServer, async_test, read_message, request
 
 # How many of the 256 sockets that the rig allows the proxy are for client connections.
 CLIENT_CONNECTION_LIMIT = 124
 
 
-@real
+@async_test
 async def test_idle_clients_are_closed_before_descriptors_run_out() -> None:
     """More clients connect than the proxy may have sockets, and stay connected; each is served."""
     async with Rig(ScriptedServer("s1")) as rig:
@@ -29,7 +29,7 @@
             writer.close()
 
 
-@real
+@async_test
 async def test_clients_over_the_descriptor_limit_get_503_also_during_shutdown() -> None:
     """220 clients each send a request to an endpoint that never responds; those over the limit get a 503."""
     async with Rig(ScriptedServer("s1", None)) as rig:
@@ -58,7 +58,7 @@
             writer.close()
 
 
-@real
+@async_test
 async def test_pipelined_requests_are_served_in_order() -> None:
     async with Rig(ScriptedServer("s1", OK)) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
@@ -69,7 +69,7 @@
         assert [line.split()[0] for line, _, _ in rig.endpoints[0].received_requests] == [b"GET", b"POST"]
 
 
-@real
+@async_test
 async def test_graceful_shutdown_loses_no_request_of_busy_clients() -> None:
     """Connections may be closed between requests, but only after a response with `Connection: close`."""
 
@@ -96,7 +96,7 @@
         assert await rig.proxy.wait() == 0
 
 
-@real
+@async_test
 async def test_reload_switches_to_the_complete_list_of_the_new_discovery_and_loses_no_request() -> None:
     release = asyncio.Event()
 
@@ -138,7 +138,7 @@
         new_discovery.server.close()
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     "sent",
     [b"", b"POST /pay/1", request("pay", body=b"abc")[:-1], request() + b"GET /"],
@@ -159,7 +159,7 @@
         assert not sent or b"HTTP/1.1 408" in received.result()
 
 
-@real
+@async_test
 async def test_flood_of_silent_connections_does_not_close_those_of_active_clients() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
@@ -172,7 +172,7 @@
             silent_writer.close()
 
 
-@real
+@async_test
 async def test_clients_that_stay_idle_after_one_request_do_not_lock_out_others() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         open_writers = []
@@ -190,7 +190,7 @@
             writer.close()
 
 
-@real
+@async_test
 async def test_invalid_request_ends_its_connection_and_further_input_is_not_processed() -> None:
     async with Rig(ScriptedServer("s1")) as rig:
         reader, writer = await asyncio.open_connection("127.0.0.1", rig.port)
@@ -200,7 +200,7 @@
         writer.close()
 
 
-@real
+@async_test
 async def test_memory_of_closed_connections_is_freed_promptly() -> None:
     """Guards against reference cycles of asyncio and the parser that are collected only after minutes."""
 
--- a/tests/test_upstream_pool.py
+++ b/tests/test_upstream_pool.py
@@ -6,7 +6,7 @@
 import socket
 
 import pytest
-from rig import OK, SETTINGS, TEST_TIMEOUT_S, real
+from rig import OK, SETTINGS, TEST_TIMEOUT_S, async_test
 
 from alderspool.balancer.events import AttemptStatus
 from alderspool.balancer.settings_reader import read_settings
@@ -75,7 +75,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-@real
+@async_test
 async def test_detects_input_after_the_last_response_before_reuse() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server:
         reader, writer = await connect(*server.getsockname())
@@ -94,7 +94,7 @@
         writer.close()
 
 
-@real
+@async_test
 @pytest.mark.parametrize(
     ("elapsed_s", "status"),
     [(0.0, AttemptStatus.RESET), (0.001, AttemptStatus.OK)],
@@ -126,7 +126,7 @@
     assert (await harness.next_outcome())[:2] == (2, status)
 
 
-@real
+@async_test
 async def test_duplicate_response_is_not_taken_for_the_response_of_the_next_attempt() -> None:
     """An endpoint sends a response twice, and the duplicate arrives some milliseconds later.
 
@@ -157,7 +157,7 @@
     assert await harness.next_outcome() == (harness.dispatched, AttemptStatus.OK, b"own")
 
 
-@real
+@async_test
 async def test_cancelled_attempt_closes_its_connection_and_is_not_reported() -> None:
     harness = PoolHarness()
     host, port = harness.server.getsockname()
@@ -176,7 +176,7 @@
     assert harness.exchange.outcomes.empty()
 
 
-@real
+@async_test
 async def test_evicts_the_longest_idle_connection_when_descriptors_run_out() -> None:
     """The smallest budget is 8 descriptors, so opening a ninth connection closes the longest idle one."""
     harness = PoolHarness(DescriptorBudget(8))
