--- a/alderspool/simulator/__init__.py
+++ b/alderspool/simulator/__init__.py
@@ -1,5 +1,5 @@
-"""Runs the balancer under the simulator: its binary wire, and the adapter that hosts many Balancers on it.
+"""Runs the balancer in the simulator: the binary wire protocol, and an adapter that hosts many Balancers.
 
-This package serves the simulator only, which measures decisions in virtual time without sockets. The proxy
-(`alderspool.program`) imports none of it.
+The simulator evaluates the balancer's decisions in virtual time, without sockets. Only the simulator uses
+this package; the proxy (`alderspool.program`) does not import it.
 """
--- a/alderspool/simulator/errors.py
+++ b/alderspool/simulator/errors.py
@@ -1,7 +1,10 @@
-"""Errors of the simulator's wire."""
+"""Errors of the simulator's wire protocol."""
 
 from __future__ import annotations
 
 
 class WireError(ValueError):
-    """A frame that cannot be read. The message names the record and its offset within the batch, in bytes."""
+    """A malformed or truncated batch.
+
+    The message contains the byte offset within the batch and, where known, the index of the record.
+    """
--- a/alderspool/simulator/instance_events.py
+++ b/alderspool/simulator/instance_events.py
@@ -1,4 +1,4 @@
-"""Events that concern a Balancer instance as a whole (the simulator's wire only)."""
+"""Events that create or remove a Balancer instance; used only on the simulator's wire."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class InstanceStarted:
-    """A new instance of the Balancer is to be created, without any state."""
+    """A new instance of the Balancer starts, without the state of an earlier one."""
 
     seed: int
     settings: Settings
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class InstanceKilled:
-    """The instance is dead, with all its state."""
+    """The instance was killed; its state is lost."""
 
 
 InstanceEvent = Event | InstanceStarted | InstanceKilled
